--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -154,7 +154,7 @@
         blocks = [(number % 6, i) for i in range(1000 // BLOCK)]
         blocks += [(number, "document", i) for i in range(1000 // BLOCK, 3500 // BLOCK)]
         blocks += [(len(prompts), "question", i) for i in range(150 // BLOCK)]
-        prompts.append(Prompt(prefix.hash_levels(text, "lm"), tuple(blocks)))
+        prompts.append(Prompt(prefix.hash_prefixes(text, "lm"), tuple(blocks)))
     return prompts
 
 
@@ -229,7 +229,7 @@
     texts = [rng.choice(heads) + _make_text(rng, 150) for _ in range(CHOICES)]
     began = time.perf_counter()
     for text in texts:
-        chooser.choose(made, prefix.hash_levels(text, "lm"))
+        chooser.choose(made, prefix.hash_prefixes(text, "lm"))
     return (time.perf_counter() - began) / CHOICES * 1e6
 
 
@@ -272,7 +272,7 @@
             peer.online -= 1
             _note_end(known, made, peer, peer.name in failing, now)
         if attempt == 1:
-            budget.note_request()
+            budget.record_request()
         peer = chooser.choose(made, (), excluded, now)
         sent += 1
         peer.online += 1
@@ -292,7 +292,7 @@
     if failed:
         known.eject([made], peer, now)
     else:
-        known.note_success(peer)
+        known.record_success(peer)
 
 
 def measure_plan(count, slots):
--- a/benchmarks/policy_runs.py
+++ b/benchmarks/policy_runs.py
@@ -14,7 +14,7 @@
 from pimentowick import client as http_client
 from pimentowick.external import engine as external_engine
 from pimentowick.fakes import simulation
-from pimentowick.scheduling import additive, admission, gradient, limiter, model
+from pimentowick.scheduling import admission, aimd, gradient, limiter, model
 
 __all__ = [
     "MAX_BATCH",
@@ -71,7 +71,7 @@
         if self.kind == "yielding":
             return limiter.YieldingLimiter(self.max_batch, self.value)
         if self.kind == "additive":
-            return additive.AdditiveLimiter(self.max_batch, self.value)
+            return aimd.AIMDLimiter(self.max_batch, self.value)
         if self.kind == "gradient":
             return gradient.GradientLimiter(self.max_batch, self.value)
         if self.kind == "model":
--- a/benchmarks/policy_traffic.py
+++ b/benchmarks/policy_traffic.py
@@ -200,7 +200,7 @@
 
     async def _send_heartbeats(self):
         while True:
-            self._window = self._in_flight + self.admission.count_free_batch()
+            self._window = self._in_flight + self.admission.count_free_batch_slots()
             await asyncio.sleep(HEARTBEAT_S)
 
     async def _run_batch(self):
--- a/pimentowick/agent/daemon.py
+++ b/pimentowick/agent/daemon.py
@@ -63,7 +63,7 @@
         self._rest = {}
         self.running = set()
         self.load = external_engine.EngineLoad()
-        self.cache_lifetime = lifetime.CacheLifetime()
+        self.cache_lifetime = lifetime.CacheLifetimeEstimator()
         self._load_read_at = float("-inf")
         self.metrics = process_metrics.AgentMetrics()
         self.leases = scheduling_lease.LeaseTable(settings.lease_s)
@@ -182,7 +182,7 @@
         """Cancel the batch items of entries whose lease has lapsed."""
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
-            for holder in self.leases.pop_lapsed():
+            for holder in self.leases.pop_expired():
                 self._cancel_batch_of(holder)
 
     async def stop_job(self, job):
@@ -237,12 +237,12 @@
     async def _watch_cache(self):
         while True:
             await asyncio.sleep(CACHE_POLL_S)
-            start = self.cache_lifetime.position
+            start = self.cache_lifetime.resume_sequence
             try:
                 events, following = await self.target.read_cache_events(start)
             except exception.PimentowickError:
                 continue
-            self.cache_lifetime.note(events, following, time.monotonic())
+            self.cache_lifetime.record_events(events, following, time.monotonic())
 
     def describe(self):
         """Return all that there is to say about this agent."""
@@ -293,8 +293,8 @@
             "state": self.state,
             "online": admission.count_online(),
             "batch": len(admission.batch),
-            "batch_free": admission.count_free_batch(),
-            "batch_served": admission.tally.describe(),
+            "batch_free": admission.count_free_batch_slots(),
+            "batch_served": admission.token_counter.describe(),
             "wait_s": round(admission.estimate_wait(), 3),
             "entries": max(1, self.count_entries()),
             "holders": max(1, self.leases.count()),
--- a/pimentowick/agent/handler.py
+++ b/pimentowick/agent/handler.py
@@ -124,7 +124,7 @@
         """Answer a heartbeat."""
         data = self.read_json()
         answer = self.agent.answer_heartbeat(data["entry"], data.get("have"))
-        answer = membership_report.shorten(answer)
+        answer = membership_report.omit_defaults(answer)
         if data.get("renew") is not None:
             answer["lease"] = self.agent.leases.renew(data["entry"], data["renew"])
         for name in UNUSED_HEADERS:
--- a/pimentowick/agent/work.py
+++ b/pimentowick/agent/work.py
@@ -83,7 +83,7 @@
             workspace=envelope.workspace,
             weight=envelope.weight,
             cost=envelope.cost,
-            holder=envelope.entry,
+            entry=envelope.entry,
         )
 
     @property
@@ -108,7 +108,7 @@
     def __init__(self, envelope, generation):
         super().__init__(envelope)
         self.generation = generation
-        self.ticket.characters = len(generation.prompt)
+        self.ticket.prompt_chars = len(generation.prompt)
 
     async def run(self, target, admission):
         """Yield the lines of the answer.
@@ -146,7 +146,7 @@
                     async for event in events:
                         if isinstance(event, external_engine.Tokens):
                             produced = event.index + len(event.texts)
-                            self.ticket.characters = 0
+                            self.ticket.prompt_chars = 0
                         yield self._make_line(event)
                         if isinstance(event, external_engine.End):
                             return
@@ -180,20 +180,22 @@
     async def _generate(self, target, admission, generation):
         """Yield the engine's events, and show them to the admission's meter."""
         stream = object()
-        characters = 0 if generation.resume_tokens else len(generation.prompt)
+        prompt_chars = 0 if generation.resume_tokens else len(generation.prompt)
         try:
             # Closed with this iterator: a stream that is left to the garbage
             # collector would go on at the engine for a while.
             async with contextlib.aclosing(target.generate(generation)) as events:
                 async for event in events:
                     if isinstance(event, external_engine.Tokens):
-                        admission.meter.note_token(stream, self.is_batch, characters)
+                        admission.step_tracker.observe_token(
+                            stream, self.is_batch, prompt_chars
+                        )
                         if self.is_batch:
-                            admission.note_tokens(self.ticket, len(event.texts))
-                        characters = 0
+                            admission.record_tokens(self.ticket, len(event.texts))
+                        prompt_chars = 0
                     yield event
         finally:
-            admission.meter.note_end(stream)
+            admission.step_tracker.observe_end(stream)
 
     async def _run_until_preempted(self, target, admission, produced):
         generation = dataclasses.replace(self.generation, resume_tokens=produced)
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -22,7 +22,7 @@
 from pimentowick import exception, supervisor, verdict
 from pimentowick.batch import item as batch_item
 from pimentowick.batch import record as batch_record
-from pimentowick.scheduling import served as scheduling_served
+from pimentowick.scheduling import token_accounting as scheduling_token_accounting
 
 __all__ = ["Dispatcher"]
 
@@ -104,7 +104,7 @@
         self._owner = owner
         self._metrics = metrics
         self._works = {}
-        self._served = scheduling_served.ServedTokens()
+        self._served = scheduling_token_accounting.TokenAccounting()
         self._running = 0
         self._paused = False
         self._supervisor = supervisor.Supervisor("dispatch")
@@ -198,10 +198,10 @@
                 pass
 
     def _read_served(self):
-        self._served.forget_agents(self._fleet.peers)
+        self._served.retain_agents(self._fleet.peers)
         for name, peer in self._fleet.peers.items():
             if "batch_served" in peer.report:
-                self._served.note_report(name, peer.report["batch_served"])
+                self._served.record_report(name, peer.report["batch_served"])
 
     async def _sync(self):
         """Take up the open jobs of owned shards, and drop all others."""
@@ -222,7 +222,9 @@
             for job in shard.ledger.list_open_jobs():
                 if job.id not in self._works:
                     self._works[job.id] = _make_work(shard, job)
-        self._fleet.want_batch({work.job.model for work in self._works.values()})
+        self._fleet.set_batch_services(
+            {work.job.model for work in self._works.values()}
+        )
 
     def _start_next(self):
         """Start one item, and return whether there was one to start."""
@@ -250,12 +252,12 @@
                 self._start(work, work.suspects.popleft(), empty[0], solo=True)
                 return True
             # An empty engine is looked for, however much room the others have.
-            self._fleet.note_waiting(work.job.model, math.inf)
+            self._fleet.record_backlog(work.job.model, math.inf)
         roomy = [peer for peer in peers if peer.batch < peer.window]
         if not work.pending:
             return False
         if not roomy:
-            self._fleet.note_waiting(work.job.model, len(work.pending))
+            self._fleet.record_backlog(work.job.model, len(work.pending))
             return False
         peer = max(roomy, key=lambda each: each.window - each.batch)
         self._start(work, work.pending.popleft(), peer, solo=False)
@@ -265,7 +267,7 @@
         # A lease that is younger than the last look into the log was granted to a
         # process that may have slept: the log may hold a cancellation since.
         fresh_at = shard.replica.fresh_at
-        return bool(peer.lease) and not peer.solo and fresh_at > peer.lease_since
+        return bool(peer.lease) and not peer.solo and fresh_at > peer.lease_requested_at
 
     def _start(self, work, item, peer, solo):
         peer.batch += 1
@@ -305,7 +307,7 @@
             return
         progress = work.progress.setdefault(item, batch_item.Progress())
         workspace = work.job.workspace
-        self._served.note_cost(workspace, body["max_tokens"] - len(progress.texts))
+        self._served.record_cost(workspace, body["max_tokens"] - len(progress.texts))
         result = await batch_item.run_item(
             self._client,
             peer,
@@ -321,23 +323,23 @@
 
     def _take_result(self, work, item, peer, solo, body, result):
         if result.outcome is batch_item.Outcome.DONE:
-            self._fleet.note_success(peer)
+            self._fleet.record_success(peer)
             self._finish(work, item, result.status, result.body)
         elif result.outcome is batch_item.Outcome.NOT_RUN:
             self._take_not_run(work, item, peer, solo, result.refusal)
         else:
-            self._fleet.note_failure(peer)
+            self._fleet.record_failure(peer)
             self._take_lost(work, item, solo, body, result.refusal)
 
     def _take_not_run(self, work, item, peer, solo, refusal):
         if refusal is not None and refusal.code == "no_slot":
             peer.window = peer.batch - 1
         elif refusal is not None and refusal.code == "draining":
-            self._fleet.note_draining(peer)
+            self._fleet.record_draining(peer)
         elif refusal is not None and refusal.code == "lease_lapsed":
-            self._fleet.note_lapsed(peer)
+            self._fleet.on_lease_expired(peer)
         elif refusal is not None:
-            self._fleet.note_failure(peer)
+            self._fleet.record_failure(peer)
         queue = work.suspects if solo else work.pending
         queue.appendleft(item)
 
--- a/pimentowick/batch/shard.py
+++ b/pimentowick/batch/shard.py
@@ -122,7 +122,7 @@
         seen = None
         while True:
             names = self.list_names()
-            if self._fleet.read_at is not None and names != seen:
+            if self._fleet.hosts_read_at is not None and names != seen:
                 await self._follow_all()
                 # What is still owned is left once it has been given up.
                 seen = names if len(self.followed) == self._wanted else None
--- a/pimentowick/entry/online.py
+++ b/pimentowick/entry/online.py
@@ -72,7 +72,7 @@
             self.request_id, self.workspace, generation, deadline_s
         )
         write = self._write_stream if data.get("stream") else self._write_whole
-        with self.entry.limits.hold(self.workspace):
+        with self.entry.limits.acquire(self.workspace):
             self._answering = asyncio.ensure_future(write(request, generation))
             try:
                 # The router keeps to the deadline, but a caller that reads nothing
--- a/pimentowick/entry/service.py
+++ b/pimentowick/entry/service.py
@@ -54,7 +54,7 @@
         key = self.request.headers.get("Idempotency-Key")
         request = self._make_request(service, idempotent, key, deadline_s)
         if idempotent or key is None:
-            with self.entry.limits.hold_call(self.workspace, service):
+            with self.entry.limits.acquire_call(self.workspace, service):
                 call = asyncio.ensure_future(self.entry.router.call(request))
                 if idempotent:
                     self._calling = call
@@ -69,7 +69,7 @@
             number = batch_shard.find_shard(call_id, self.entry.settings.shards)
             await handler.forward(self, number, deadline_s)
             return
-        with self.entry.limits.hold_call(self.workspace, service):
+        with self.entry.limits.acquire_call(self.workspace, service):
             digest = self._make_digest()
             known = await self.entry.calls.claim(
                 shard, call_id, request.id, digest, deadline_s
@@ -131,7 +131,7 @@
             idempotent=idempotent,
             deadline=time.monotonic() + deadline_s,
             cost=1.0,
-            work={"call": call},
+            payload={"call": call},
         )
 
     def _get_raw_path(self):
--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -135,7 +135,7 @@
     async def wait(self, demand, avoid=frozenset()):
         """Wait for a `Place`; return None once waiting has no use any more."""
         future = asyncio.get_running_loop().create_future()
-        turns = self._turns.setdefault(demand.service, fairness.Tags())
+        turns = self._turns.setdefault(demand.service, fairness.StartTags())
         turn = turns.assign(demand.workspace, 1.0)
         demand = dataclasses.replace(demand, turn=turn)
         entry = (demand, avoid, future)
@@ -212,7 +212,7 @@
             if place is None:
                 return
             line.remove(entry)
-            self._turns[service].note_served(demand.turn)
+            self._turns[service].record_served(demand.turn)
             future.set_result(place)
 
     def _choose(self, service, avoid):
--- a/pimentowick/gateway/tests/test_request_order.py
+++ b/pimentowick/gateway/tests/test_request_order.py
@@ -22,7 +22,7 @@
         while at < until_s:
             heapq.heappush(events, (at, 1, name))
             at += draw.expovariate(rate)
-    turns = fairness.Tags()
+    turns = fairness.StartTags()
     line = []
     free = places
     came = dict.fromkeys(rates, 0)
@@ -42,7 +42,7 @@
         line.sort(key=lambda entry: request_order.rank(entry, now))
         while free and line:
             entry = line.pop(0)
-            turns.note_served(entry.turn)
+            turns.record_served(entry.turn)
             free -= 1
             in_time[entry.workspace] += now <= entry.start_by
             heapq.heappush(events, (now + PLACE_S, 0, ""))
--- a/pimentowick/membership/fleet.py
+++ b/pimentowick/membership/fleet.py
@@ -52,14 +52,14 @@
         host: `pimentowick.external.hosts.Host`.
         rank: Its weight in the ranking of this entry.
         report: Answer to the question what it serves, or None.
-        asked_at: Monotonic time of that question.
+        heartbeat_sent_at: Monotonic time of that question.
         tries: Questions without an answer.
     """
 
     host: object
     rank: bytes
     report: dict | None = None
-    asked_at: float = 0.0
+    heartbeat_sent_at: float = 0.0
     tries: int = 0
 
     @property
@@ -99,7 +99,7 @@
         self.entries = {}
         self.changed = asyncio.Event()
         self._pools = {}
-        self.read_at = None
+        self.hosts_read_at = None
         self.ejections = 0
         self._sees_all = False
         self._hosts = hosts
@@ -130,7 +130,7 @@
             await asyncio.sleep(self._settings.host_poll_s * random.uniform(0.8, 1.2))
 
     def _take_hosts(self, hosts):
-        self.read_at = time.monotonic()
+        self.hosts_read_at = time.monotonic()
         if hosts is self._hosts_seen:
             return
         self._hosts_seen = hosts
@@ -186,7 +186,10 @@
             agent
             for name, agent in self._agents.items()
             if agent.report is None
-            or (name not in self.peers and now - agent.asked_at > SURVEY_AGAIN_S)
+            or (
+                name not in self.peers
+                and now - agent.heartbeat_sent_at > SURVEY_AGAIN_S
+            )
         ]
         return sorted(unknown, key=self._get_survey_order)
 
@@ -195,7 +198,7 @@
         return agent.tries, is_far, agent.rank
 
     async def _ask(self, agent):
-        agent.asked_at = time.monotonic()
+        agent.heartbeat_sent_at = time.monotonic()
         try:
             agent.report = await self._ask_report(agent.host.address, {})
             agent.tries = 0
@@ -218,13 +221,13 @@
         for pairs in ranked.values():
             count = len(pairs)
             if not self._sees_all:
-                count = subset.count_wanted(
+                count = subset.compute_subset_size(
                     self._settings.peers_per_service, count, len(self.entries)
                 )
-            chosen = subset.choose_agents(pairs, self._settings.failure_domain, count)
+            chosen = subset.select_subset(pairs, self._settings.failure_domain, count)
             self._keep_peers({host.name for _, host in pairs}, chosen)
 
-    def see_all(self, wanted):
+    def track_all_agents(self, wanted):
         """Talk to all agents, or to a bounded number of each service again.
 
         Who decides on the placement has to know all engines.
@@ -252,8 +255,8 @@
         peer = membership_peer.Peer(host)
         agent = self._agents[host.name]
         self.peers[host.name] = peer
-        self._take_report(peer, agent.report, agent.asked_at)
-        peer.heard_at = agent.asked_at
+        self._take_report(peer, agent.report, agent.heartbeat_sent_at)
+        peer.last_seen_at = agent.heartbeat_sent_at
         logger.info("fleet: Agent {} is at {}.", host.name, host.address)
         self._supervisor.start_child(host.name, self._send_heartbeats, peer)
 
@@ -269,7 +272,7 @@
         if peer.host.leaving or peer.report.get("state") != "ready":
             self._leave_pools(peer)
             return
-        keys = {(name, peer.report.get("kind")) for name in peer.list_served()}
+        keys = {(name, peer.report.get("kind")) for name in peer.list_services()}
         for key, pool in self._pools.items():
             if key not in keys:
                 pool.discard(peer)
@@ -286,7 +289,7 @@
                 # The connection may have fallen silent under a healthy agent; the
                 # next one is new. Waiting first would let the agent pass for dead.
                 await self._send_heartbeat(peer)
-            peer.interval_s = self._get_interval(peer)
+            peer.heartbeat_interval_s = self._get_interval(peer)
             pause = self._get_pause(peer)
             try:
                 async with asyncio.timeout(pause):
@@ -299,10 +302,10 @@
 
     def _get_pause(self, peer):
         if not self._wants_lease(peer):
-            return self._align(peer.interval_s * random.uniform(0.8, 1.2))
+            return self._align(peer.heartbeat_interval_s * random.uniform(0.8, 1.2))
         # Rounded up, a renewal that has to be repeated could come after the lease.
         turn = self._settings.heartbeat_s
-        pause = peer.interval_s * random.uniform(1 - RENEWAL_JITTER, 1)
+        pause = peer.heartbeat_interval_s * random.uniform(1 - RENEWAL_JITTER, 1)
         if pause <= turn:
             return pause
         now = time.monotonic()
@@ -342,9 +345,9 @@
 
     def _wants_lease(self, peer):
         return peer.batch > 0 or (
-            peer.leasing
+            peer.lease_wanted
             and peer.report.get("kind") == "engine"
-            and not self._batch_services.isdisjoint(peer.list_served())
+            and not self._batch_services.isdisjoint(peer.list_services())
         )
 
     def _get_interval(self, peer):
@@ -363,11 +366,11 @@
         # to requests show in between how they are.
         least = len(self.peers) / self._settings.heartbeats_per_s
         now = time.monotonic()
-        if peer.online or now - peer.used_at < membership_peer.WORK_FLOWS_S:
+        if peer.online or now - peer.last_used_at < membership_peer.PEER_ACTIVE_S:
             return max(self._settings.heartbeat_s, least)
         return max(self._settings.heartbeat_s, self._settings.idle_heartbeat_s, least)
 
-    def want_batch(self, services):
+    def set_batch_services(self, services):
         """Say for which services batch items wait or run.
 
         Only their agents grant leases to this entry, and of these no more than the
@@ -376,46 +379,46 @@
         """
         self._batch_services = frozenset(services)
         for peer in self.peers.values():
-            if self._batch_services.isdisjoint(peer.list_served()):
-                peer.leasing = False
+            if self._batch_services.isdisjoint(peer.list_services()):
+                peer.lease_wanted = False
         for service in self._batch_services:
             self._keep_leases(service)
 
     def _keep_leases(self, service):
-        leasing, others = self._split_by_lease(service)
-        missing = LEASES_AT_FIRST - len(leasing)
+        leased, others = self._split_by_lease(service)
+        missing = LEASES_AT_FIRST - len(leased)
         if missing > 0:
             self._want_leases(others[:missing])
             return
         short_at = self._short_at.get(service, 0.0)
-        unused = [peer for peer in leasing if peer.batch == 0]
+        unused = [peer for peer in leased if peer.batch == 0]
         is_enough = time.monotonic() - short_at > LEASES_UNUSED_S
         if missing < 0 and unused and is_enough:
-            unused[0].leasing = False
+            unused[0].lease_wanted = False
 
     def _split_by_lease(self, service):
         """Return the usable engines with a wanted lease, and the emptiest others."""
         peers = self.list_candidates(service, "engine")
-        leasing = [peer for peer in peers if peer.leasing]
-        others = [peer for peer in peers if not peer.leasing]
+        leased = [peer for peer in peers if peer.lease_wanted]
+        others = [peer for peer in peers if not peer.lease_wanted]
         # The first of a common order would be chosen by all entries alike.
         random.shuffle(others)
         others.sort(key=lambda peer: -peer.report.get("batch_free", 0))
-        return leasing, others
+        return leased, others
 
     def _want_leases(self, peers):
         for peer in peers:
-            peer.leasing = True
+            peer.lease_wanted = True
             if not peer.lease:
                 peer.wake.set()
 
-    def note_lapsed(self, peer):
+    def on_lease_expired(self, peer):
         """Take notice of an agent that refused because the lease has lapsed."""
         peer.lease = 0
         # The next renewal may be seconds away, and until then the agent idles.
         peer.wake.set()
 
-    def note_waiting(self, service, items):
+    def record_backlog(self, service, items):
         """Ask more agents for a lease if items wait for which there is no room.
 
         The leases in force double until there is room, so that a large job soon has
@@ -425,27 +428,27 @@
             service: Name of the model.
             items: How many items wait.
         """
-        leasing, others = self._split_by_lease(service)
-        room = sum(max(0, peer.window - peer.batch) for peer in leasing)
+        leased, others = self._split_by_lease(service)
+        room = sum(max(0, peer.window - peer.batch) for peer in leased)
         if room >= items:
             return
         self._short_at[service] = time.monotonic()
         # Those that were asked and have not answered yet may have the room.
-        granted = sum(1 for peer in leasing if peer.lease)
-        if granted == len(leasing):
+        granted = sum(1 for peer in leased if peer.lease)
+        if granted == len(leased):
             self._want_leases(itertools.islice(others, max(1, granted)))
 
     def _take_report(self, peer, answer, sent_at):
         # An answer leaves out what does not change while the agent's process lives.
-        peer.report = {**peer.report, **membership_report.ABSENT, **answer}
-        peer.heard_at = time.monotonic()
-        peer.asked_at = sent_at
+        peer.report = {**peer.report, **membership_report.REPORT_DEFAULTS, **answer}
+        peer.last_seen_at = time.monotonic()
+        peer.heartbeat_sent_at = sent_at
         peer.online_at_report = peer.online
         self._index(peer)
         lease = answer.get("lease", peer.lease)
         if lease != peer.lease:
             peer.lease = lease
-            peer.lease_since = sent_at
+            peer.lease_requested_at = sent_at
         report = peer.report
         share = report.get("batch_free", 0) // max(1, report.get("holders", 1))
         peer.window = peer.batch + share
@@ -468,8 +471,8 @@
         silence = SILENT_AFTER_HEARTBEATS * self._settings.heartbeat_s
         # One that is seldom asked may miss one answer; a request that then meets a
         # dead agent ends as not run and goes elsewhere.
-        silence = max(silence, SILENT_AFTER_SELDOM * peer.interval_s)
-        return now - peer.heard_at < silence + HEARTBEAT_TIMEOUT_S
+        silence = max(silence, SILENT_AFTER_SELDOM * peer.heartbeat_interval_s)
+        return now - peer.last_seen_at < silence + HEARTBEAT_TIMEOUT_S
 
     def get_pool(self, name, kind):
         """Return the `pimentowick.membership.pool.Pool` of a service."""
@@ -488,23 +491,23 @@
         ]
         return [peer for peer in usable if peer.ejected_until <= now] or usable
 
-    def list_served(self, kind):
+    def list_services(self, kind):
         """Return the names of what the known targets of `kind` serve."""
         return {
             name
             for peer in self.peers.values()
             if peer.report.get("kind") == kind
-            for name in peer.list_served()
+            for name in peer.list_services()
         }
 
-    def note_success(self, peer):
+    def record_success(self, peer):
         """Take notice of a request that ended well."""
         peer.failures = 0
-        peer.used_at = time.monotonic()
+        peer.last_used_at = time.monotonic()
         # The whole answer shows that it lives; how full it is, only a report does.
-        peer.heard_at = peer.used_at
+        peer.last_seen_at = peer.last_used_at
 
-    def note_failure(self, peer):
+    def record_failure(self, peer):
         """Take notice of a failed request; eject the peer for a while."""
         pools = [pool for pool in self._pools.values() if peer in pool]
         self.eject(pools, peer, time.monotonic())
@@ -512,17 +515,17 @@
     def eject(self, pools, peer, now):
         """Count a failure of a member of `pools`, and eject it if all of them may."""
         peer.failures += 1
-        peer.used_at = time.monotonic()
+        peer.last_used_at = time.monotonic()
         peer.wake.set()
-        if not all(pool.may_eject(peer, now) for pool in pools):
+        if not all(pool.can_eject(peer, now) for pool in pools):
             return
         self.ejections += 1
         pause = min(EJECT_FIRST_S * 2 ** (peer.failures - 1), EJECT_LAST_S)
         peer.ejected_until = now + pause * random.uniform(0.8, 1.2)
         for pool in pools:
-            pool.note_ejected(peer, peer.ejected_until)
+            pool.record_ejection(peer, peer.ejected_until)
 
-    def note_draining(self, peer):
+    def record_draining(self, peer):
         """Take notice of an agent that refused because it drains."""
         peer.report = {**peer.report, "state": "draining"}
         self._index(peer)
--- a/pimentowick/membership/pool.py
+++ b/pimentowick/membership/pool.py
@@ -130,7 +130,7 @@
                     break
         return found
 
-    def may_eject(self, peer, now):
+    def can_eject(self, peer, now):
         """Return whether `peer` may be ejected as well.
 
         When most of the members fail, the cause is seldom with them, and the few
@@ -139,14 +139,14 @@
         self._ejected = {
             each: until for each, until in self._ejected.items() if until > now
         }
-        return peer in self._ejected or not self.is_short
+        return peer in self._ejected or not self.is_at_ejection_limit
 
     @property
-    def is_short(self):
+    def is_at_ejection_limit(self):
         """Whether as many members are ejected as may be."""
         return len(self._ejected) >= math.floor(len(self.members) * EJECT_SHARE)
 
-    def note_ejected(self, peer, until):
+    def record_ejection(self, peer, until):
         """Take notice that a member gets no work until some monotonic time."""
         if peer in self._positions:
             self._ejected[peer] = until
--- a/pimentowick/membership/report.py
+++ b/pimentowick/membership/report.py
@@ -5,9 +5,9 @@
 reader must not keep the older value then.
 """
 
-__all__ = ["ABSENT", "shorten"]
+__all__ = ["REPORT_DEFAULTS", "omit_defaults"]
 
-ABSENT = {
+REPORT_DEFAULTS = {
     "online": 0,
     "batch": 0,
     "batch_free": 0,
@@ -21,15 +21,15 @@
 """What an answer that leaves a figure out says of it."""
 
 
-def shorten(answer):
+def omit_defaults(answer):
     """Return an answer without the figures that say what their absence says.
 
     Examples:
-        >>> shorten({"state": "ready", "online": 0, "batch": 2})
+        >>> omit_defaults({"state": "ready", "online": 0, "batch": 2})
         {'state': 'ready', 'batch': 2}
     """
     return {
         key: value
         for key, value in answer.items()
-        if key not in ABSENT or value != ABSENT[key]
+        if key not in REPORT_DEFAULTS or value != REPORT_DEFAULTS[key]
     }
--- a/pimentowick/membership/subset.py
+++ b/pimentowick/membership/subset.py
@@ -18,7 +18,7 @@
 
 from pimentowick import rendezvous
 
-__all__ = ["choose_agents", "count_wanted", "rank_agent"]
+__all__ = ["compute_subset_size", "rank_agent", "select_subset"]
 
 NEAR_SHARE = 0.75
 ENTRIES_PER_AGENT = 10
@@ -34,7 +34,7 @@
     return rendezvous.weigh(entry, agent)
 
 
-def count_wanted(setting, agents, entries):
+def compute_subset_size(setting, agents, entries):
     """Return how many agents of a service each entry takes.
 
     Args:
@@ -43,18 +43,18 @@
         entries: Number of entries.
 
     Examples:
-        >>> count_wanted(16, 136, 360)
+        >>> compute_subset_size(16, 136, 360)
         16
-        >>> count_wanted(16, 136, 20)
+        >>> compute_subset_size(16, 136, 20)
         68
-        >>> count_wanted(16, 5, 3)
+        >>> compute_subset_size(16, 5, 3)
         5
     """
     needed = math.ceil(ENTRIES_PER_AGENT * agents / max(1, entries))
     return min(agents, max(setting, needed))
 
 
-def choose_agents(ranked, failure_domain, count):
+def select_subset(ranked, failure_domain, count):
     """Return the agents that an entry talks to.
 
     Most are of the entry's own failure domain as long as there are any; the others
--- a/pimentowick/membership/tests/test_fleet.py
+++ b/pimentowick/membership/tests/test_fleet.py
@@ -155,21 +155,21 @@
         await wait_for(lambda: len(known.peers) == AGENTS)
         assert not any("renew" in body for _, body in agents.messages)
         lm = list_lm(known)
-        known.want_batch({"lm"})
+        known.set_batch_services({"lm"})
         await wait_for(lambda: count_leases(known) == fleet.LEASES_AT_FIRST)
-        known.want_batch({"lm"})
+        known.set_batch_services({"lm"})
         await asyncio.sleep(0.2)
         assert count_leases(known) == fleet.LEASES_AT_FIRST
 
         def has_all():
-            known.note_waiting("lm", 10_000)
+            known.record_backlog("lm", 10_000)
             return all(peer.lease == 7 for peer in lm)
 
         await wait_for(has_all)
         others = [peer for peer in known.peers.values() if peer.service == "desk"]
         assert others
         assert not any(peer.lease for peer in others)
-        known.want_batch(())
+        known.set_batch_services(())
         await wait_for(lambda: not any(peer.lease for peer in lm))
 
     run(check, idle_heartbeat_s=0.05)
@@ -182,10 +182,10 @@
     async def check(known, listed, agents):
         await wait_for(lambda: len(known.peers) == AGENTS)
         lm = list_lm(known)
-        known.want_batch({"lm"})
+        known.set_batch_services({"lm"})
 
         def has_all():
-            known.note_waiting("lm", 10_000)
+            known.record_backlog("lm", 10_000)
             return all(peer.lease == 7 for peer in lm)
 
         await wait_for(has_all)
@@ -194,7 +194,7 @@
             peer.batch = 1
 
         def has_few():
-            known.want_batch({"lm"})
+            known.set_batch_services({"lm"})
             return count_leases(known) <= 3
 
         await wait_for(has_few)
@@ -210,9 +210,11 @@
     peer = membership_peer.Peer(None, {"lease_s": 8.0}, batch=1)
     assert known._get_interval(peer) == 0.5
     peer.lease = 7
-    peer.interval_s = known._get_interval(peer)
+    peer.heartbeat_interval_s = known._get_interval(peer)
     # Rounded down to a turn, after the jitter.
-    least = peer.interval_s * (1 - fleet.RENEWAL_JITTER) - settings.heartbeat_s
+    least = (
+        peer.heartbeat_interval_s * (1 - fleet.RENEWAL_JITTER) - settings.heartbeat_s
+    )
     for _ in range(100):
         assert least < known._get_pause(peer) <= 8.0 / fleet.RENEWALS_PER_LEASE
 
@@ -222,10 +224,10 @@
 
     async def check(known, listed, agents):
         await wait_for(lambda: len(known.peers) == AGENTS)
-        known.want_batch({"lm"})
+        known.set_batch_services({"lm"})
         await wait_for(lambda: count_leases(known) == fleet.LEASES_AT_FIRST)
         peer = next(peer for peer in list_lm(known) if peer.lease)
-        known.note_lapsed(peer)
+        known.on_lease_expired(peer)
         assert not peer.lease
         async with asyncio.timeout(1):
             await wait_for(lambda: peer.lease == 7)
--- a/pimentowick/membership/tests/test_subset.py
+++ b/pimentowick/membership/tests/test_subset.py
@@ -21,7 +21,7 @@
     entry = f"entry-{number}"
     ranked = [(subset.rank_agent(entry, host.name), host) for host in agents]
     domain = f"d{number % DOMAINS}"
-    return [host.name for host in subset.choose_agents(ranked, domain, count)]
+    return [host.name for host in subset.select_subset(ranked, domain, count)]
 
 
 def test_agents_get_even_numbers_of_entries():
--- a/pimentowick/placement/decider.py
+++ b/pimentowick/placement/decider.py
@@ -122,7 +122,7 @@
             if not self._get_fleet().models:
                 continue
             await self._keep_claim(elapsed)
-            self._fleet.see_all(self.is_owner)
+            self._fleet.track_all_agents(self.is_owner)
             if self.is_owner:
                 await self._decide()
 
@@ -277,7 +277,7 @@
             self._fenced.get(peer.name) == report["boot"]
             and report["fence"] == self._fence
             and report["settled"]
-            and peer.asked_at > self._ended_at.get(peer.name, 0.0)
+            and peer.heartbeat_sent_at > self._ended_at.get(peer.name, 0.0)
         )
 
     def _list_engines(self, peers):
@@ -296,7 +296,7 @@
                 engines.append(engine)
         known = {engine.agent for engine in engines}
         reported = {peer.name: set(peer.report["models"]) for peer in peers}
-        intervals = {peer.name: peer.interval_s for peer in peers}
+        intervals = {peer.name: peer.heartbeat_interval_s for peer in peers}
         for name, (models, at) in list(self._seen.items()):
             # The report after an order is as far away as the next heartbeats.
             reports_s = REPORTS_AWAITED * intervals.get(name, 0.0)
--- a/pimentowick/routing/affinity.py
+++ b/pimentowick/routing/affinity.py
@@ -29,13 +29,13 @@
 
     Args:
         fallback: `pimentowick.routing.balance.TwoChoiceBalancer`.
-        memory: `pimentowick.routing.prefix.PrefixMemory`.
+        prefix_index: `pimentowick.routing.prefix.PrefixIndex`.
         bound_factor: How far above the mean a target's load may be that is chosen
             for its cache.
     """
 
-    def __init__(self, fallback, memory=None, bound_factor=BOUND_FACTOR):
-        self.memory = memory or routing_prefix.PrefixMemory()
+    def __init__(self, fallback, prefix_index=None, bound_factor=BOUND_FACTOR):
+        self.prefix_index = prefix_index or routing_prefix.PrefixIndex()
         self._fallback = fallback
         self._bound_factor = bound_factor
 
@@ -49,25 +49,25 @@
         def is_fit(peer):
             # All entries send a prefix to the same target, and none sees before the
             # next report what the others sent.
-            alike = peer.report.get("entries", 1)
-            if peer.estimate_load(alike) >= bound:
+            senders = peer.report.get("entries", 1)
+            if peer.estimate_load(senders) >= bound:
                 return False
-            return self._fallback.may_take(peer, pool, excluded, now)
+            return self._fallback.is_eligible(peer, pool, excluded, now)
 
         chosen = self._find_holder(pool, prefix, is_fit, now)
         chosen = chosen or self._find_home(pool, prefix, is_fit)
         if chosen is None:
             chosen = self._fallback.choose(pool, prefix, excluded, now)
         else:
-            self._fallback.note_choice(chosen)
+            self._fallback.record_choice(chosen)
         if chosen is not None:
-            self.memory.note(prefix, chosen.name, now)
+            self.prefix_index.insert(prefix, chosen.name, now)
         return chosen
 
     def _find_holder(self, pool, prefix, is_fit, now):
         for level in reversed(prefix):
             found = []
-            for name, since in self.memory.get_holders(level).items():
+            for name, since in self.prefix_index.get_holders(level).items():
                 peer = pool.find(name)
                 if peer is not None and _still_holds(peer, since, now) and is_fit(peer):
                     found.append(peer)
--- a/pimentowick/routing/balance.py
+++ b/pimentowick/routing/balance.py
@@ -55,7 +55,7 @@
         self._failure_domain = failure_domain
         self._is_usable = is_usable
         self._remote_penalty = remote_penalty
-        self._probes = retry.RetryBudget(PROBE_SHARE, first=1.0)
+        self._probes = retry.RetryBudget(PROBE_SHARE, initial_tokens=1.0)
 
     def choose(self, pool, prefix=(), excluded=frozenset(), now=None):
         """Return one of the members; see `Balancer.choose`."""
@@ -67,7 +67,7 @@
         if not found:
             found = self._take_any(near + anywhere, pool, excluded, now)
         chosen = min(found, key=self.get_cost, default=None)
-        self.note_choice(chosen)
+        self.record_choice(chosen)
         return chosen
 
     def get_cost(self, peer):
@@ -77,26 +77,30 @@
             cost += self._remote_penalty
         return cost
 
-    def may_take(self, peer, pool, excluded, now):
+    def is_eligible(self, peer, pool, excluded, now):
         """Return whether `peer` is a candidate of the first choice."""
         if peer.name in excluded or not is_healthy(peer, now):
             return False
         # A target that fails at once looks empty and would draw everybody. Its
         # probes are rationed, unless so many fail that the others need relief.
-        if peer.failures and not self._probes.has_token() and not pool.is_short:
+        if (
+            peer.failures
+            and not self._probes.has_token()
+            and not pool.is_at_ejection_limit
+        ):
             return False
         return self._is_usable(peer, now)
 
-    def note_choice(self, peer):
+    def record_choice(self, peer):
         """Count a choice towards the share of probes."""
-        self._probes.note_request()
+        self._probes.record_request()
         if peer is not None and peer.failures:
             self._probes.take()
 
     def _take_healthy(self, drawn, pool, excluded, now):
         found = []
         for peer in drawn:
-            if self.may_take(peer, pool, excluded, now):
+            if self.is_eligible(peer, pool, excluded, now):
                 found.append(peer)
                 if len(found) == CHOICES:
                     break
--- a/pimentowick/routing/lifetime.py
+++ b/pimentowick/routing/lifetime.py
@@ -7,21 +7,21 @@
 
 import collections
 
-__all__ = ["CacheLifetime"]
+__all__ = ["CacheLifetimeEstimator"]
 
 SAMPLES = 64
 MAX_BLOCKS = 20_000
 QUANTILE = 4
 
 
-class CacheLifetime:
+class CacheLifetimeEstimator:
     """Estimates the lifetime of blocks that nobody used again.
 
     Examples:
         >>> from pimentowick.external import engine
-        >>> lifetime = CacheLifetime()
-        >>> lifetime.note([engine.CacheEvent(0, "stored", "b")], 1, 10.0)
-        >>> lifetime.note([engine.CacheEvent(1, "evicted", "b")], 2, 16.0)
+        >>> lifetime = CacheLifetimeEstimator()
+        >>> lifetime.record_events([engine.CacheEvent(0, "stored", "b")], 1, 10.0)
+        >>> lifetime.record_events([engine.CacheEvent(1, "evicted", "b")], 2, 16.0)
         >>> lifetime.estimate()
         6.0
     """
@@ -32,7 +32,7 @@
         self._samples = collections.deque(maxlen=SAMPLES)
 
     @property
-    def position(self):
+    def resume_sequence(self):
         """Sequence number to read from: that of the last event that was seen.
 
         An engine that was started again numbers from 0. Asking for an event that is
@@ -40,7 +40,7 @@
         """
         return max(0, self._next - 1)
 
-    def note(self, events, following, now):
+    def record_events(self, events, following, now):
         """Take the events of one answer.
 
         Args:
--- a/pimentowick/routing/limits.py
+++ b/pimentowick/routing/limits.py
@@ -24,7 +24,7 @@
         self._by_service = collections.Counter()
 
     @contextlib.contextmanager
-    def hold_call(self, workspace, service):
+    def acquire_call(self, workspace, service):
         """Count a call of `workspace` to a service while the context lasts.
 
         Args:
@@ -40,13 +40,13 @@
             raise _refuse("too_many_calls", "This service has too many calls at once.")
         self._by_service[key] += 1
         try:
-            with self.hold(workspace):
+            with self.acquire(workspace):
                 yield
         finally:
             _count_down(self._by_service, key)
 
     @contextlib.contextmanager
-    def hold(self, workspace):
+    def acquire(self, workspace):
         """Count a request of `workspace` while the context lasts.
 
         Raises:
@@ -55,7 +55,7 @@
         Examples:
             >>> from pimentowick.configuration import workspace
             >>> limits = ConcurrencyLimits(max_online=1)
-            >>> with limits.hold(workspace.Workspace("a", 1)):
+            >>> with limits.acquire(workspace.Workspace("a", 1)):
             ...     limits.running
             1
         """
--- a/pimentowick/routing/prefix.py
+++ b/pimentowick/routing/prefix.py
@@ -9,16 +9,30 @@
 import collections
 import hashlib
 
-__all__ = ["LEVELS", "PrefixMemory", "hash_levels"]
-
-LEVELS = (128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096, 6144, 8192)
+__all__ = ["PREFIX_LENGTHS", "PrefixIndex", "hash_prefixes"]
+
+PREFIX_LENGTHS = (
+    128,
+    192,
+    256,
+    384,
+    512,
+    768,
+    1024,
+    1536,
+    2048,
+    3072,
+    4096,
+    6144,
+    8192,
+)
 """Lengths of the prefixes that are told apart, in characters."""
 MAX_ENTRIES = 20_000
 MAX_HOLDERS = 4
 DIGEST_BYTES = 8
 
 
-def hash_levels(prompt, seed=""):
+def hash_prefixes(prompt, seed=""):
     """Return the hashes of a prompt's prefixes, the shortest first.
 
     Args:
@@ -26,16 +40,16 @@
         seed: What else the cache depends on: model and adapter.
 
     Examples:
-        >>> short, long = hash_levels("a" * 130), hash_levels("a" * 300)
+        >>> short, long = hash_prefixes("a" * 130), hash_prefixes("a" * 300)
         >>> len(short), len(long), short[0] == long[0]
         (1, 3, True)
-        >>> hash_levels("short")
+        >>> hash_prefixes("short")
         ()
     """
     state = hashlib.blake2b(seed.encode(), digest_size=DIGEST_BYTES)
     hashes = []
     begin = 0
-    for end in LEVELS:
+    for end in PREFIX_LENGTHS:
         if end > len(prompt):
             break
         state.update(prompt[begin:end].encode("utf-8", "surrogatepass"))
@@ -44,16 +58,16 @@
     return tuple(hashes)
 
 
-class PrefixMemory:
+class PrefixIndex:
     """The newest holders of each prefix, as far as this entry knows.
 
     Args:
         max_entries: Most prefixes that are kept; the least recently used go first.
 
     Examples:
-        >>> memory = PrefixMemory()
-        >>> memory.note(hash_levels("a" * 200), "t1", 5.0)
-        >>> memory.get_holders(hash_levels("a" * 130)[0])
+        >>> memory = PrefixIndex()
+        >>> memory.insert(hash_prefixes("a" * 200), "t1", 5.0)
+        >>> memory.get_holders(hash_prefixes("a" * 130)[0])
         {'t1': 5.0}
     """
 
@@ -68,11 +82,11 @@
         """Return when each holder of a prefix last got it, by name."""
         return self._holders.get(level, {})
 
-    def note(self, levels, name, now):
+    def insert(self, levels, name, now):
         """Take notice that the target `name` gets these prefixes.
 
         Args:
-            levels: Hashes from `hash_levels`.
+            levels: Hashes from `hash_prefixes`.
             name: Name of the target's agent.
             now: Monotonic time.
         """
--- a/pimentowick/routing/retry.py
+++ b/pimentowick/routing/retry.py
@@ -19,8 +19,8 @@
 
     Args:
         share: Retries allowed for each request.
-        first: Retries allowed at the start.
-        least_per_s: Retries allowed a second, however few requests there are.
+        initial_tokens: Retries allowed at the start.
+        min_per_s: Retries allowed a second, however few requests there are.
         clock: Function that returns the monotonic time, in seconds.
 
     References:
@@ -28,23 +28,23 @@
         has a share and a least rate).
 
     Examples:
-        >>> budget = RetryBudget(0.1, first=0.0)
+        >>> budget = RetryBudget(0.1, initial_tokens=0.0)
         >>> for _ in range(10):
-        ...     budget.note_request()
+        ...     budget.record_request()
         >>> budget.take(), budget.take()
         (True, False)
     """
 
     def __init__(
-        self, share, first=FIRST_TOKENS, least_per_s=0.0, clock=time.monotonic
+        self, share, initial_tokens=FIRST_TOKENS, min_per_s=0.0, clock=time.monotonic
     ):
         self._share = share
-        self._tokens = first
-        self._least_per_s = least_per_s
+        self._tokens = initial_tokens
+        self._least_per_s = min_per_s
         self._clock = clock
         self._refilled_at = clock()
 
-    def note_request(self):
+    def record_request(self):
         """Count a first attempt."""
         self._tokens = min(self._tokens + self._share, MAX_TOKENS)
 
--- a/pimentowick/routing/router.py
+++ b/pimentowick/routing/router.py
@@ -35,7 +35,7 @@
         deadline: Monotonic time by which the answer has to be whole.
         cost: Expected tokens.
         prefix: Hashes of the prompt's prefixes, the shortest first.
-        work: The part of the message that says what to do.
+        payload: The part of the message that says what to do.
         verdicts: Verdicts of the attempts that failed.
         excluded: Names of the peers that failed.
         attempts: Number of attempts begun.
@@ -48,7 +48,7 @@
     idempotent: bool
     deadline: float
     cost: float
-    work: dict
+    payload: dict
     prefix: tuple = ()
     verdicts: list = dataclasses.field(default_factory=list)
     excluded: set = dataclasses.field(default_factory=set)
@@ -75,7 +75,7 @@
         self._owner = owner
         self._metrics = metrics
         self._budget = retry.RetryBudget(
-            settings.retry_share, least_per_s=LEAST_RETRIES_PER_S
+            settings.retry_share, min_per_s=LEAST_RETRIES_PER_S
         )
 
     async def generate(self, request):
@@ -95,7 +95,7 @@
                 for each in frames:
                     if "texts" in each and each["index"] == produced:
                         produced += len(each["texts"])
-                        request.work["generate"]["resume_tokens"] = produced
+                        request.payload["generate"]["resume_tokens"] = produced
                         yield external_engine.Tokens(each["index"], each["texts"])
                     elif each.get("end"):
                         yield external_engine.End(each["finish_reason"], each["tokens"])
@@ -114,7 +114,7 @@
         return end
 
     async def _try_all(self, request):
-        self._budget.note_request()
+        self._budget.record_request()
         while True:
             self._check_deadline(request)
             peer = self._choose(request)
@@ -149,7 +149,7 @@
             frames_of_peer = routing_attempt.read_frames(
                 self._client,
                 peer,
-                {"envelope": envelope, **request.work},
+                {"envelope": envelope, **request.payload},
                 self._settings.idle_s,
                 # A call that can't be repeated must not be lost to a pooled
                 # connection that died unnoticed; after a failure, neither may any
@@ -161,7 +161,7 @@
                     yield frames
         finally:
             peer.online -= 1
-        self._fleet.note_success(peer)
+        self._fleet.record_success(peer)
 
     def _check_deadline(self, request):
         if time.monotonic() >= request.deadline:
@@ -189,9 +189,9 @@
         request.verdicts.append(refusal.verdict)
         request.excluded.add(peer.name)
         if refusal.code in LOST_CODES:
-            self._fleet.note_failure(peer)
+            self._fleet.record_failure(peer)
         elif refusal.code == "draining":
-            self._fleet.note_draining(peer)
+            self._fleet.record_draining(peer)
 
     def _may_retry(self, request, refusal):
         if request.attempts >= self._settings.max_attempts:
@@ -229,11 +229,11 @@
         deadline=time.monotonic() + deadline_s,
         cost=generation["max_tokens"],
         prefix=_hash_prefix(generation),
-        work={"generate": dict(generation)},
+        payload={"generate": dict(generation)},
     )
 
 
 def _hash_prefix(generation):
     # The cache of one model or adapter is of no use to another.
     seed = f"{generation['model']}/{generation.get('adapter') or ''}"
-    return routing_prefix.hash_levels(generation["prompt"], seed)
+    return routing_prefix.hash_prefixes(generation["prompt"], seed)
--- a/pimentowick/routing/tests/test_affinity.py
+++ b/pimentowick/routing/tests/test_affinity.py
@@ -18,7 +18,7 @@
 
 
 def make_levels(seed, length=2000):
-    return prefix.hash_levels(random.Random(seed).randbytes(length // 2).hex())
+    return prefix.hash_prefixes(random.Random(seed).randbytes(length // 2).hex())
 
 
 def test_a_prefix_goes_where_it_went_before(chooser, make_pool):
@@ -40,11 +40,11 @@
 def test_the_longest_known_prefix_decides(chooser, make_pool):
     pool = make_pool(40)
     text = "s" * 1000
-    chooser.choose(pool, prefix.hash_levels(text + "a" * 1000), now=NOW)
+    chooser.choose(pool, prefix.hash_prefixes(text + "a" * 1000), now=NOW)
     other = pool.members[7]
-    levels = prefix.hash_levels(text + "b" * 1000)
-    chooser.memory.note(levels, other.name, NOW)
-    longer = prefix.hash_levels(text + "b" * 1000 + "question" * 20)
+    levels = prefix.hash_prefixes(text + "b" * 1000)
+    chooser.prefix_index.insert(levels, other.name, NOW)
+    longer = prefix.hash_prefixes(text + "b" * 1000 + "question" * 20)
     assert chooser.choose(pool, longer, now=NOW) is other
 
 
@@ -84,14 +84,14 @@
     holder = next(peer for peer in pool.members if peer is not home)
     holder.report["cache_life_s"] = 10.0
     chooser = make_affinity()
-    chooser.memory.note(levels, holder.name, NOW)
+    chooser.prefix_index.insert(levels, holder.name, NOW)
     assert chooser.choose(pool, levels, now=NOW + 9) is holder
-    chooser.memory.note(levels, holder.name, NOW)
+    chooser.prefix_index.insert(levels, holder.name, NOW)
     assert chooser.choose(pool, levels, now=NOW + 11) is home
 
 
 def test_the_memory_is_bounded():
-    memory = prefix.PrefixMemory(max_entries=100)
+    prefix_index = prefix.PrefixIndex(max_entries=100)
     for seed in range(100):
-        memory.note(make_levels(seed), "t", NOW)
-    assert len(memory) == 100
+        prefix_index.insert(make_levels(seed), "t", NOW)
+    assert len(prefix_index) == 100
--- a/pimentowick/routing/tests/test_balance.py
+++ b/pimentowick/routing/tests/test_balance.py
@@ -66,7 +66,7 @@
     for peer in pool.members:
         peer.online = 0 if peer is mended else 8
     assert near.choose(pool, now=NOW) is mended
-    known.note_success(mended)
+    known.record_success(mended)
     assert count_choices(near, pool, 50)[mended.name] > 10
 
 
--- a/pimentowick/routing/tests/test_lifetime.py
+++ b/pimentowick/routing/tests/test_lifetime.py
@@ -7,7 +7,7 @@
 def replay(drop, lag=0.0):
     """Each block is stored at its number and evicted thirty seconds later."""
     rng = random.Random(5)
-    estimate = lifetime.CacheLifetime()
+    estimate = lifetime.CacheLifetimeEstimator()
     sequence = 0
     for second in range(200):
         events = [("stored", second)]
@@ -17,7 +17,7 @@
             if rng.random() >= drop:
                 kept.append(engine.CacheEvent(sequence, kind, str(block)))
             sequence += 1
-        estimate.note(kept, sequence, second + lag)
+        estimate.record_events(kept, sequence, second + lag)
     return estimate
 
 
@@ -33,18 +33,18 @@
     """The engine dies and comes back with an empty cache and numbers from 0. If it
     went unnoticed, all its new events would pass for old ones."""
     estimate = replay(0.0)
-    assert estimate.position > 100
-    estimate.note([], 3, 500.0)
+    assert estimate.resume_sequence > 100
+    estimate.record_events([], 3, 500.0)
     assert estimate.estimate() is None
-    estimate.note([engine.CacheEvent(3, "stored", "b")], 4, 501.0)
-    estimate.note([engine.CacheEvent(4, "evicted", "b")], 5, 503.0)
+    estimate.record_events([engine.CacheEvent(3, "stored", "b")], 4, 501.0)
+    estimate.record_events([engine.CacheEvent(4, "evicted", "b")], 5, 503.0)
     assert estimate.estimate() == 2.0
 
 
 def test_an_event_that_is_read_twice_counts_once():
-    estimate = lifetime.CacheLifetime()
+    estimate = lifetime.CacheLifetimeEstimator()
     stored = engine.CacheEvent(0, "stored", "b")
-    estimate.note([stored], 1, 1.0)
-    estimate.note([stored], 1, 9.0)
-    estimate.note([engine.CacheEvent(1, "evicted", "b")], 2, 11.0)
+    estimate.record_events([stored], 1, 1.0)
+    estimate.record_events([stored], 1, 9.0)
+    estimate.record_events([engine.CacheEvent(1, "evicted", "b")], 2, 11.0)
     assert estimate.estimate() == 10.0
--- a/pimentowick/routing/tests/test_limits.py
+++ b/pimentowick/routing/tests/test_limits.py
@@ -15,12 +15,12 @@
     uses = {"desk": workspace.ServiceUse(max_concurrent=1)}
     first, second = (workspace.Workspace(n, 1, services=uses) for n in ("a", "b"))
     counted = limits.ConcurrencyLimits(max_online=10)
-    with counted.hold_call(first, "desk"):
+    with counted.acquire_call(first, "desk"):
         with pytest.raises(exception.RefusedError) as caught:
-            with counted.hold_call(first, "desk"):
+            with counted.acquire_call(first, "desk"):
                 raise AssertionError("taken")
         assert caught.value.refusal.code == "too_many_calls"
-        with counted.hold_call(second, "desk"):
+        with counted.acquire_call(second, "desk"):
             assert counted.running == 2
-    with counted.hold_call(first, "desk"):
+    with counted.acquire_call(first, "desk"):
         assert counted.running == 1
--- a/pimentowick/scheduling/admission.py
+++ b/pimentowick/scheduling/admission.py
@@ -15,7 +15,7 @@
 import time
 
 from pimentowick import exception, verdict
-from pimentowick.scheduling import fairness, tally
+from pimentowick.scheduling import fairness, token_counter
 from pimentowick.scheduling import step as scheduling_step
 
 __all__ = ["Admission", "Ticket"]
@@ -25,7 +25,7 @@
 MIN_RETRY_AFTER_S = 0.1
 BATCH_RETRY_AFTER_S = 0.5
 # Longest wait of a batch item that has not begun, in seconds.
-HOLD_S = 5.0
+MAX_BATCH_WAIT_S = 5.0
 # Part of the places for batch items by which more of them are held than can run.
 AHEAD_SHARE = 0.125
 # An agent that was idle so lately keeps items for all its places: it will be again.
@@ -43,8 +43,8 @@
         workspace: Name of the workspace.
         weight: Share of the workspace.
         cost: Expected tokens.
-        holder: Entry that sent it.
-        characters: Length of the prompt that the engine has to read.
+        entry: Entry that sent it.
+        prompt_chars: Length of the prompt that the engine has to read.
         started_at: Monotonic time of admission.
         preempted: Set when a batch item has to give its place up.
     """
@@ -52,8 +52,8 @@
     workspace: str
     weight: float = 1.0
     cost: float = 1.0
-    holder: str = ""
-    characters: int = 0
+    entry: str = ""
+    prompt_chars: int = 0
     started_at: float = 0.0
     preempted: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
     admitted: asyncio.Future | None = None
@@ -75,8 +75,10 @@
         online: Tickets of the online requests at the target.
         batch: Tickets of the batch items at the target, oldest first.
         preemptions: Batch items preempted so far.
-        tally: `pimentowick.scheduling.tally.Tally` of the batch tokens.
-        meter: `pimentowick.scheduling.step.StepMeter` that is shown all tokens.
+        token_counter: `pimentowick.scheduling.token_counter.TokenCounter` of the batch
+            tokens.
+        step_tracker: `pimentowick.scheduling.step.StepTracker` that observes all
+            tokens.
     """
 
     def __init__(
@@ -96,8 +98,8 @@
         self.online = set()
         self.batch = {}
         self.preemptions = 0
-        self.tally = tally.Tally(clock)
-        self.meter = scheduling_step.StepMeter(self.note_step, clock)
+        self.token_counter = token_counter.TokenCounter(clock)
+        self.step_tracker = scheduling_step.StepTracker(self.observe_step, clock)
         self._clock = clock
         self._reading = {}
         self._online_queue = fairness.FairQueue()
@@ -110,11 +112,11 @@
         """Return how many online requests run or wait."""
         return len(self.online) + len(self._online_queue)
 
-    def count_held_batch(self):
+    def count_batch_items(self):
         """Return how many batch items run or wait here."""
         return len(self.batch) + len(self._batch_queue)
 
-    def count_free_batch(self):
+    def count_free_batch_slots(self):
         """Return how many more batch items would be taken now."""
         if self.count_online() == 0:
             self._idle_at = self._clock()
@@ -122,7 +124,7 @@
         if self._clock() - self._idle_at <= IDLE_HORIZON_S:
             places = self.max_batch
         # Else another agent may have room: items would only grow old here.
-        return max(0, places + self._ahead - self.count_held_batch())
+        return max(0, places + self._ahead - self.count_batch_items())
 
     def _get_limit(self):
         online = self.count_online()
@@ -218,23 +220,23 @@
             RefusedError: As many wait as are held here, given at once; or it has
                 waited for so long that another agent may be the better place.
         """
-        if self.count_free_batch() == 0:
+        if self.count_free_batch_slots() == 0:
             raise _refuse_batch()
         try:
-            async with asyncio.timeout(HOLD_S):
-                await self._wait_batch(ticket, paid=False)
+            async with asyncio.timeout(MAX_BATCH_WAIT_S):
+                await self._wait_batch(ticket, charged=False)
         except TimeoutError:
             raise _refuse_batch() from None
 
     async def readmit_batch(self, ticket):
         """Wait for a place for a batch item that was preempted."""
         ticket.preempted.clear()
-        await self._wait_batch(ticket, paid=True)
+        await self._wait_batch(ticket, charged=True)
 
-    async def _wait_batch(self, ticket, paid):
+    async def _wait_batch(self, ticket, charged):
         ticket.admitted = asyncio.get_running_loop().create_future()
         self._batch_queue.push(
-            ticket.workspace, ticket, ticket.cost, ticket.weight, paid
+            ticket.workspace, ticket, ticket.cost, ticket.weight, charged
         )
         self._fill()
         try:
@@ -243,9 +245,9 @@
             self._leave_queue(self._batch_queue, ticket)
             raise
 
-    def note_tokens(self, ticket, count):
+    def record_tokens(self, ticket, count):
         """Take notice of tokens of a batch item; with the first, its prompt is read."""
-        self.tally.add(ticket.workspace, count, ticket.weight)
+        self.token_counter.add(ticket.workspace, count, ticket.weight)
         if self._reading.pop(ticket, None) is not None:
             self._fill()
 
@@ -255,26 +257,26 @@
         self._reading.pop(ticket, None)
         self._fill()
 
-    def apply_limit(self):
+    def enforce_limit(self):
         """Preempt or admit batch items after the limit may have changed."""
         self._preempt()
         self._fill()
 
     def _note_online(self):
-        delay_s = self.limiter.note_online(self.count_online())
+        delay_s = self.limiter.update_online(self.count_online())
         if delay_s:
             # Without a batch item at work no step would bring the limit up again.
-            asyncio.get_running_loop().call_later(delay_s, self.apply_limit)
+            asyncio.get_running_loop().call_later(delay_s, self.enforce_limit)
 
-    def note_step(self, step):
+    def observe_step(self, step):
         """Take notice of a `pimentowick.scheduling.step.Step` of the engine."""
-        self.limiter.note_step(step)
-        self.apply_limit()
+        self.limiter.observe_step(step)
+        self.enforce_limit()
 
     def _start_batch(self, ticket):
         ticket.started_at = self._clock()
         self.batch[ticket] = None
-        self._reading[ticket] = ticket.characters
+        self._reading[ticket] = ticket.prompt_chars
 
     def _fill(self):
         while len(self._online_queue) and len(self.online) < self.max_online:
@@ -292,7 +294,7 @@
 
     def _can_start(self, ticket):
         return self.limiter.can_start(
-            ticket.characters,
+            ticket.prompt_chars,
             sum(self._reading.values()),
             self.count_online(),
             len(self.batch),
--- a/pimentowick/scheduling/additive.py
+++ b/pimentowick/scheduling/aimd.py
@@ -10,35 +10,35 @@
 
 from pimentowick.scheduling import limiter
 
-__all__ = ["AdditiveLimiter"]
+__all__ = ["AIMDLimiter"]
 
 DECREASE = 0.5
 STEPS_PER_CHANGE = 10
 
 
-class AdditiveLimiter(limiter.AdaptiveLimiter):
+class AIMDLimiter(limiter.AdaptiveLimiter):
     """Additive increase, multiplicative decrease on the time of a step.
 
     Examples:
         >>> from pimentowick.scheduling import step
-        >>> additive = AdditiveLimiter(32, harm=0.05)
+        >>> aimd = AIMDLimiter(32, max_slowdown=0.05)
         >>> for _ in range(40):
-        ...     additive.note_step(step.Step(20.0, online=1))
-        >>> additive.get_limit(online=1)
+        ...     aimd.observe_step(step.Step(20.0, online=1))
+        >>> aimd.get_limit(online=1)
         4
         >>> for _ in range(10):
-        ...     additive.note_step(step.Step(30.0, online=1, batch=4))
-        >>> additive.get_limit(online=1)
+        ...     aimd.observe_step(step.Step(30.0, online=1, batch=4))
+        >>> aimd.get_limit(online=1)
         2
     """
 
-    def __init__(self, max_batch, harm):
-        super().__init__(max_batch, harm)
+    def __init__(self, max_batch, max_slowdown):
+        super().__init__(max_batch, max_slowdown)
         self._total_ms = 0.0
         self._count = 0
 
-    def note_step(self, step):
-        """Take notice of a step; see `BatchLimiter.note_step`."""
+    def observe_step(self, step):
+        """Take notice of a step; see `BatchLimiter.observe_step`."""
         if not step.online:
             return
         self._note_base(step)
--- a/pimentowick/scheduling/fairness.py
+++ b/pimentowick/scheduling/fairness.py
@@ -17,17 +17,17 @@
 import heapq
 import itertools
 
-__all__ = ["FairQueue", "Tags"]
+__all__ = ["FairQueue", "StartTags"]
 
 
-class Tags:
+class StartTags:
     """Start tags of workspaces that share something.
 
     Examples:
-        >>> tags = Tags()
+        >>> tags = StartTags()
         >>> [tags.assign("flood", 10) for _ in range(3)], tags.assign("calm", 10)
         ([0.0, 10.0, 20.0], 0.0)
-        >>> tags.note_served(20.0)
+        >>> tags.record_served(20.0)
         >>> tags.assign("calm", 10)
         20.0
     """
@@ -37,7 +37,7 @@
         self._virtual = 0.0
 
     @property
-    def virtual(self):
+    def virtual_time(self):
         """The tag of whatever was served last."""
         return self._virtual
 
@@ -53,7 +53,7 @@
         self._finish[workspace] = start + cost / weight
         return start
 
-    def note_served(self, tag):
+    def record_served(self, tag):
         """Note that a request with a tag had its turn."""
         self._virtual = max(self._virtual, tag)
 
@@ -78,7 +78,7 @@
     def __init__(self):
         self._heap = []
         self._order = itertools.count()
-        self._tags = Tags()
+        self._tags = StartTags()
         self._workspaces = {}
         self._waiting = collections.Counter()
 
@@ -93,25 +93,25 @@
         """Return how many workspaces have entries that wait."""
         return len(self._waiting)
 
-    def push(self, workspace, entry, cost, weight=1.0, paid=False):
+    def push(self, workspace, request, cost, weight=1.0, charged=False):
         """Add an entry.
 
         Args:
             workspace: Name of the workspace that it belongs to.
-            entry: Anything hashable.
+            request: Anything hashable.
             cost: Expected tokens.
             weight: Share of the workspace.
-            paid: Whether its cost was counted before. An entry that had its turn and
+            charged: Whether its cost was counted before. An entry that had its turn and
                 was sent back goes first, and its workspace pays only once.
         """
-        if paid:
-            self._push(self._tags.virtual, workspace, entry)
+        if charged:
+            self._push(self._tags.virtual_time, workspace, request)
             return
-        self._push(self._tags.assign(workspace, cost, weight), workspace, entry)
+        self._push(self._tags.assign(workspace, cost, weight), workspace, request)
 
-    def _push(self, start, workspace, entry):
-        heapq.heappush(self._heap, (start, next(self._order), entry))
-        self._workspaces[entry] = workspace
+    def _push(self, start, workspace, request):
+        heapq.heappush(self._heap, (start, next(self._order), request))
+        self._workspaces[request] = workspace
         self._waiting[workspace] += 1
 
     def peek(self):
@@ -130,15 +130,15 @@
         Raises:
             IndexError: The queue is empty.
         """
-        entry = self.peek()
+        request = self.peek()
         start, _, _ = heapq.heappop(self._heap)
-        self._tags.note_served(start)
-        self.remove(entry)
-        return entry
+        self._tags.record_served(start)
+        self.remove(request)
+        return request
 
-    def remove(self, entry):
+    def remove(self, request):
         """Drop an entry that waits."""
-        workspace = self._workspaces.pop(entry)
+        workspace = self._workspaces.pop(request)
         self._waiting[workspace] -= 1
         if not self._waiting[workspace]:
             del self._waiting[workspace]
--- a/pimentowick/scheduling/gradient.py
+++ b/pimentowick/scheduling/gradient.py
@@ -27,24 +27,24 @@
 
     Examples:
         >>> from pimentowick.scheduling import step
-        >>> gradient = GradientLimiter(32, harm=0.05)
+        >>> gradient = GradientLimiter(32, max_slowdown=0.05)
         >>> for _ in range(200):
-        ...     gradient.note_step(step.Step(20.0, online=1))
+        ...     gradient.observe_step(step.Step(20.0, online=1))
         >>> gradient.get_limit(online=1) > 24
         True
         >>> for _ in range(400):
-        ...     gradient.note_step(step.Step(30.0, online=1, batch=8))
+        ...     gradient.observe_step(step.Step(30.0, online=1, batch=8))
         >>> gradient.get_limit(online=1) < 16
         True
     """
 
-    def __init__(self, max_batch, harm):
-        super().__init__(max_batch, harm)
+    def __init__(self, max_batch, max_slowdown):
+        super().__init__(max_batch, max_slowdown)
         self._recent_ms = None
         self._limit = min(1.0, max_batch)
 
-    def note_step(self, step):
-        """Take notice of a step; see `BatchLimiter.note_step`."""
+    def observe_step(self, step):
+        """Take notice of a step; see `BatchLimiter.observe_step`."""
         if not step.online:
             return
         self._note_base(step)
--- a/pimentowick/scheduling/idle.py
+++ b/pimentowick/scheduling/idle.py
@@ -9,14 +9,14 @@
 
 import time
 
-__all__ = ["IdleEstimate"]
+__all__ = ["IdlePredictor"]
 
 SHORT_S = 0.3
 LINGER_S = 0.25
 SMOOTHING = 0.2
 
 
-class IdleEstimate:
+class IdlePredictor:
     """Follows how long the pauses between online requests last.
 
     Args:
@@ -24,17 +24,17 @@
 
     Examples:
         >>> now = [0.0]
-        >>> idle = IdleEstimate(clock=lambda: now[0])
+        >>> idle = IdlePredictor(clock=lambda: now[0])
         >>> for _ in range(10):
-        ...     wait_s = idle.note_online(0)
+        ...     wait_s = idle.update_online(0)
         ...     now[0] += 0.05
-        ...     _ = idle.note_online(1)
-        >>> idle.note_online(0)
+        ...     _ = idle.update_online(1)
+        >>> idle.update_online(0)
         0.25
-        >>> idle.is_worth_filling(online=0)
+        >>> idle.expects_idle(online=0)
         False
         >>> now[0] += 0.3
-        >>> idle.is_worth_filling(online=0)
+        >>> idle.expects_idle(online=0)
         True
     """
 
@@ -43,7 +43,7 @@
         self._since = clock()
         self._usual_s = 2 * SHORT_S
 
-    def note_online(self, online):
+    def update_online(self, online):
         """Take notice of how many online requests there are.
 
         Returns:
@@ -58,7 +58,7 @@
             self._since = None
         return 0.0
 
-    def is_worth_filling(self, online):
+    def expects_idle(self, online):
         """Return whether there is no online request and none is expected soon."""
         if online or self._since is None:
             return False
--- a/pimentowick/scheduling/lease.py
+++ b/pimentowick/scheduling/lease.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
-    number: int
+    lease_id: int
     expires_at: float
 
 
@@ -28,13 +28,13 @@
     Examples:
         >>> now = [0.0]
         >>> table = LeaseTable(2.0, clock=lambda: now[0])
-        >>> number = table.renew("entry-1", 0)
-        >>> table.is_valid("entry-1", number)
+        >>> lease_id = table.renew("entry-1", 0)
+        >>> table.is_valid("entry-1", lease_id)
         True
         >>> now[0] = 2.5
-        >>> table.is_valid("entry-1", number)
+        >>> table.is_valid("entry-1", lease_id)
         False
-        >>> table.renew("entry-1", number) == number
+        >>> table.renew("entry-1", lease_id) == lease_id
         False
     """
 
@@ -45,30 +45,30 @@
         # Numbers of an earlier process of this agent must not be valid again.
         self._next_number = time.time_ns() // 1_000_000
 
-    def renew(self, entry, number):
-        """Extend the lease `number` of `entry`, or grant a new one.
+    def renew(self, entry, lease_id):
+        """Extend the lease `lease_id` of `entry`, or grant a new one.
 
         Returns:
-            The number of the lease that now holds; another than `number` if that
+            The number of the lease that now holds; another than `lease_id` if that
             one had lapsed.
         """
         now = self._clock()
         lease = self._leases.get(entry)
-        if lease is None or lease.number != number or lease.expires_at <= now:
+        if lease is None or lease.lease_id != lease_id or lease.expires_at <= now:
             self._next_number += 1
             lease = _Lease(self._next_number, now)
             self._leases[entry] = lease
         lease.expires_at = now + self.duration_s
-        return lease.number
+        return lease.lease_id
 
-    def is_valid(self, entry, number):
-        """Return whether `entry` holds the lease `number` now."""
+    def is_valid(self, entry, lease_id):
+        """Return whether `entry` holds the lease `lease_id` now."""
         lease = self._leases.get(entry)
-        if lease is None or lease.number != number:
+        if lease is None or lease.lease_id != lease_id:
             return False
         return self._clock() < lease.expires_at
 
-    def pop_lapsed(self):
+    def pop_expired(self):
         """Forget the lapsed leases and return their holders."""
         now = self._clock()
         lapsed = [
--- a/pimentowick/scheduling/least_squares.py
+++ b/pimentowick/scheduling/least_squares.py
@@ -21,7 +21,8 @@
     Args:
         weights: First guess.
         variances: How far each weight of the guess may be off, squared.
-        memory: Factor by which the weight of older samples falls with each new one.
+        forgetting_factor: Factor by which the weight of older samples falls with each
+            new one.
 
     Attributes:
         weights: The fit so far.
@@ -35,10 +36,10 @@
         [3.0, 0.5]
     """
 
-    def __init__(self, weights, variances, memory=0.999):
+    def __init__(self, weights, variances, forgetting_factor=0.999):
         self.weights = list(weights)
         self.count = 0
-        self._memory = memory
+        self._memory = forgetting_factor
         size = len(self.weights)
         self._covariance = [
             [variances[i] if i == j else 0.0 for j in range(size)] for i in range(size)
@@ -66,11 +67,11 @@
         # Inputs that stay constant teach nothing about some direction; its variance
         # would grow without bound and one odd sample would then throw the fit far.
         grow = max(self._covariance[i][i] for i in range(size)) < MAX_VARIANCE
-        memory = self._memory if grow else 1.0
+        forgetting_factor = self._memory if grow else 1.0
         for i in range(size):
             for j in range(size):
                 left = self._covariance[i][j] - gain[i] * projected[j]
-                self._covariance[i][j] = left / memory
+                self._covariance[i][j] = left / forgetting_factor
 
 
 def _multiply(left, right):
--- a/pimentowick/scheduling/limiter.py
+++ b/pimentowick/scheduling/limiter.py
@@ -1,7 +1,7 @@
 """How many batch items may run at an engine beside online requests.
 
 Agents use `pimentowick.scheduling.model.ModelLimiter`. The limiters here, and those of
-`additive` and `gradient`, are what ``python -m benchmarks policy`` compares it with.
+`aimd` and `gradient`, are what ``python -m benchmarks policy`` compares it with.
 """
 
 import abc
@@ -18,18 +18,18 @@
     def get_limit(self, online):
         """Return the limit while `online` requests run or wait."""
 
-    def can_start(self, characters, reading, online, batch):
+    def can_start(self, prompt_chars, prefilling, online, batch):
         """Return whether one more item may begin within the limit.
 
         Args:
-            characters: Characters of its prompt that the engine has to read.
-            reading: Those of the items that began and have no token yet.
+            prompt_chars: Characters of its prompt that the engine has to read.
+            prefilling: Those of the items that began and have no token yet.
             online: Online requests that run or wait.
             batch: Batch items that run.
         """
         return True
 
-    def note_online(self, online):
+    def update_online(self, online):
         """Take notice that `online` requests run or wait now.
 
         Returns:
@@ -38,7 +38,7 @@
         """
         return 0.0
 
-    def note_step(self, step):  # noqa: B027 - most limiters need none
+    def observe_step(self, step):  # noqa: B027 - most limiters need none
         """Take notice of a `pimentowick.scheduling.step.Step`."""
 
 
@@ -82,12 +82,12 @@
 
     Args:
         max_batch: Limit while no online request runs.
-        harm: Part by which a step may be longer than the shortest one.
+        max_slowdown: Part by which a step may be longer than the shortest one.
     """
 
-    def __init__(self, max_batch, harm):
+    def __init__(self, max_batch, max_slowdown):
         self._max_batch = max_batch
-        self._harm = harm
+        self._harm = max_slowdown
         self._base_ms = None
         self._limit = 0.0
 
--- a/pimentowick/scheduling/model.py
+++ b/pimentowick/scheduling/model.py
@@ -32,8 +32,18 @@
 TAIL = 0.99
 # What the setting `batch_harm` means; docs/POLICY.md has the measurements.
 SETTINGS = {
-    "averse": {"harm": 0.04, "start_steps": 40, "pause_steps": 400, "least": 1},
-    "throughput": {"harm": 0.12, "start_steps": 10, "pause_steps": 40, "least": 1},
+    "averse": {
+        "max_slowdown": 0.04,
+        "start_interval_steps": 40,
+        "slow_start_interval_steps": 400,
+        "min_batch": 1,
+    },
+    "throughput": {
+        "max_slowdown": 0.12,
+        "start_interval_steps": 10,
+        "slow_start_interval_steps": 40,
+        "min_batch": 1,
+    },
 }
 
 
@@ -47,21 +57,21 @@
 
     Args:
         max_batch: Limit while no online request runs.
-        harm: Part by which batch may lengthen a step beside online requests.
-        read_share: Part of a step that reading batch prompts may add while no online
+        max_slowdown: Part by which batch may lengthen a step beside online requests.
+        prefill_share: Part of a step that reading batch prompts may add while no online
             request runs; one prompt at a time is always read.
-        start_steps: Steps beside online requests between two items that begin, if
-            reading their prompts harms more than running them may.
-        pause_steps: The same if the step that reads the prompt is longer than those
-            that online requests meet without batch; 0 for never.
-        least: Batch items that stay beside online requests whatever the harm.
+        start_interval_steps: Steps beside online requests between two items that
+            begin, if reading their prompts harms more than running them may.
+        slow_start_interval_steps: The same if the step that reads the prompt is longer
+            than those that online requests meet without batch; 0 for never.
+        min_batch: Batch items that stay beside online requests whatever the harm.
 
     Examples:
         >>> from pimentowick.scheduling import step
-        >>> model = ModelLimiter(32, harm=0.1)
+        >>> model = ModelLimiter(32, max_slowdown=0.1)
         >>> for running in list(range(1, 20)) * 3:
         ...     seen = step.Step(20.0 + 0.4 * running, batch=running)
-        ...     model.note_step(seen)
+        ...     model.observe_step(seen)
         >>> model.get_limit(online=0), model.get_limit(online=5)
         (32, 5)
     """
@@ -69,20 +79,20 @@
     def __init__(
         self,
         max_batch,
-        harm,
-        read_share=1.0,
-        start_steps=20,
-        pause_steps=0,
-        least=0,
+        max_slowdown,
+        prefill_share=1.0,
+        start_interval_steps=20,
+        slow_start_interval_steps=0,
+        min_batch=0,
         clock=time.monotonic,
     ):
         self._max_batch = max_batch
-        self._harm = harm
-        self._read_share = read_share
-        self._start_steps = start_steps
-        self._pause_steps = pause_steps
-        self._idle = idle.IdleEstimate(clock)
-        self._least = min(least, max_batch)
+        self._harm = max_slowdown
+        self._read_share = prefill_share
+        self._start_steps = start_interval_steps
+        self._pause_steps = slow_start_interval_steps
+        self._idle = idle.IdlePredictor(clock)
+        self._least = min(min_batch, max_batch)
         # Online and batch prompts are told apart: many of one kind may lie in the
         # engine's prefix cache, and reading the others is no cheaper for it.
         guess = [FIRST_BASE_MS, FIRST_SLOPE_MS, FIRST_READ_MS, FIRST_READ_MS]
@@ -97,75 +107,75 @@
         return max(self._fit.weights[0], 0.0)
 
     @property
-    def slope_ms(self):
+    def per_stream_ms(self):
         """Learned milliseconds that one running stream adds."""
         return max(self._fit.weights[1], MIN_SLOPE_SHARE * self.base_ms, 1e-6)
 
     @property
-    def online_read_ms(self):
+    def online_prefill_ms_per_char(self):
         """Learned milliseconds that a character of an online prompt adds."""
         return max(self._fit.weights[2], 0.0)
 
     @property
-    def read_ms(self):
+    def batch_prefill_ms_per_char(self):
         """Learned milliseconds that a character of a batch prompt adds."""
         return max(self._fit.weights[3], 0.0)
 
-    def predict(self, running, online_characters=0, batch_characters=0):
+    def predict(self, running, online_prompt_chars=0, batch_prompt_chars=0):
         """Return the predicted time of a step, in milliseconds."""
         return (
             self.base_ms
-            + self.slope_ms * running
-            + self.online_read_ms * online_characters
-            + self.read_ms * batch_characters
+            + self.per_stream_ms * running
+            + self.online_prefill_ms_per_char * online_prompt_chars
+            + self.batch_prefill_ms_per_char * batch_prompt_chars
         )
 
     def get_limit(self, online):
         """Return the limit; see `BatchLimiter.get_limit`."""
-        if self._idle.is_worth_filling(online):
+        if self._idle.expects_idle(online):
             return self._max_batch
         online = max(online, 1)
-        allowed = self._harm * self.predict(online) / self.slope_ms
+        allowed = self._harm * self.predict(online) / self.per_stream_ms
         # A whole number that rounding left a hair too small still counts.
         return min(self._max_batch, max(self._least, int(allowed + 1e-6)))
 
-    def can_start(self, characters, reading, online, batch):
+    def can_start(self, prompt_chars, prefilling, online, batch):
         """Return whether an item may begin; see `BatchLimiter.can_start`."""
-        if self._idle.is_worth_filling(online):
-            return self._can_start_idle(characters, reading, batch)
-        if self.read_ms * characters <= self._harm * self.predict(online) - (
-            self.slope_ms * (batch + 1)
-        ):
+        if self._idle.expects_idle(online):
+            return self._can_start_idle(prompt_chars, prefilling, batch)
+        if self.batch_prefill_ms_per_char * prompt_chars <= self._harm * self.predict(
+            online
+        ) - (self.per_stream_ms * (batch + 1)):
             return True
-        if reading:
+        if prefilling:
             return False
         online = max(online, 1)
-        usual = self.predict(online + batch + 1, 0, characters) <= self._tail_ms
+        usual = self.predict(online + batch + 1, 0, prompt_chars) <= self._tail_ms
         pause = self._start_steps if usual else self._pause_steps
         if (pause == 0 and not usual) or self._steps_since_start < pause:
             return False
         self._steps_since_start = 0
         return True
 
-    def _can_start_idle(self, characters, reading, batch):
+    def _can_start_idle(self, prompt_chars, prefilling, batch):
         # The first request of a burst waits for the step that runs; a step that
         # reads the prompts of many items at once would hold it up for long.
-        if reading == 0:
+        if prefilling == 0:
             return True
-        added_ms = self.read_ms * (reading + characters)
+        added_ms = self.batch_prefill_ms_per_char * (prefilling + prompt_chars)
         return added_ms <= self._read_share * self.predict(batch)
 
-    def note_online(self, online):
-        """Take notice of the online requests; see `BatchLimiter.note_online`."""
-        return self._idle.note_online(online)
+    def update_online(self, online):
+        """Take notice of the online requests; see `BatchLimiter.update_online`."""
+        return self._idle.update_online(online)
 
-    def note_step(self, step):
-        """Take notice of a step; see `BatchLimiter.note_step`."""
+    def observe_step(self, step):
+        """Take notice of a step; see `BatchLimiter.observe_step`."""
         if step.online:
             self._steps_since_start += 1
         if self._is_odd(step):
             return
-        inputs = [1.0, step.running, step.online_characters, step.batch_characters]
+        inputs = [1.0, step.running, step.online_prompt_chars, step.batch_prompt_chars]
         self._fit.add(inputs, step.duration_ms)
         if step.online:
             self._note_online(step)
@@ -175,12 +185,15 @@
         if self._fit.count < MIN_SAMPLES:
             return False
         predicted_ms = self.predict(
-            step.running, step.online_characters, step.batch_characters
+            step.running, step.online_prompt_chars, step.batch_prompt_chars
         )
         return step.duration_ms > ODD_FACTOR * predicted_ms
 
     def _note_online(self, step):
-        added_ms = self.slope_ms * step.batch + self.read_ms * step.batch_characters
+        added_ms = (
+            self.per_stream_ms * step.batch
+            + self.batch_prefill_ms_per_char * step.batch_prompt_chars
+        )
         alone_ms = step.duration_ms - added_ms
         self._history.append(alone_ms)
         if self._fit.count % HISTORY_EVERY == 0:
--- a/pimentowick/scheduling/step.py
+++ b/pimentowick/scheduling/step.py
@@ -8,7 +8,7 @@
 import dataclasses
 import time
 
-__all__ = ["Step", "StepMeter"]
+__all__ = ["Step", "StepTracker"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -19,15 +19,15 @@
         duration_ms: Milliseconds from the end of the step before.
         online: Online streams that took part.
         batch: Batch streams that took part.
-        online_characters: Characters of the online prompts that it read.
-        batch_characters: Characters of the batch prompts that it read.
+        online_prompt_chars: Characters of the online prompts that it read.
+        batch_prompt_chars: Characters of the batch prompts that it read.
     """
 
     duration_ms: float
     online: int = 0
     batch: int = 0
-    online_characters: int = 0
-    batch_characters: int = 0
+    online_prompt_chars: int = 0
+    batch_prompt_chars: int = 0
 
     @property
     def running(self):
@@ -35,46 +35,46 @@
         return self.online + self.batch
 
 
-class StepMeter:
+class StepTracker:
     """Tells the steps from the tokens of the streams.
 
     Args:
-        take_step: Function that is called with each `Step`.
+        on_step: Function that is called with each `Step`.
         clock: Function that returns monotonic seconds.
 
     Examples:
         >>> now = [0.0]
-        >>> meter = StepMeter(print, clock=lambda: now[0])
+        >>> step_tracker = StepTracker(print, clock=lambda: now[0])
         >>> for at in (0.02, 0.04, 0.06):
         ...     now[0] = at
-        ...     meter.note_token("a", is_batch=False)
-        ...     meter.note_token("b", is_batch=True)
-        Step(duration_ms=20.0, online=1, batch=1, online_characters=0, \
-batch_characters=0)
+        ...     step_tracker.observe_token("a", is_batch=False)
+        ...     step_tracker.observe_token("b", is_batch=True)
+        Step(duration_ms=20.0, online=1, batch=1, online_prompt_chars=0, \
+batch_prompt_chars=0)
     """
 
-    def __init__(self, take_step, clock=time.monotonic):
-        self._take_step = take_step
+    def __init__(self, on_step, clock=time.monotonic):
+        self._take_step = on_step
         self._clock = clock
         self._seen = {}
         self._live = set()
         self._began_at = None
         self._ended_at = None
 
-    def note_token(self, stream, is_batch, characters=0):
+    def observe_token(self, stream, is_batch, prompt_chars=0):
         """Take notice of a stream's token.
 
         Args:
             stream: Anything hashable that tells the streams apart.
             is_batch: Whether it is a batch stream.
-            characters: Length of its prompt if this is its first token.
+            prompt_chars: Length of its prompt if this is its first token.
         """
         if stream in self._seen or not self._live:
             self._turn(is_continued=stream in self._seen)
-        self._seen[stream] = (is_batch, characters)
+        self._seen[stream] = (is_batch, prompt_chars)
         self._live.add(stream)
 
-    def note_end(self, stream):
+    def observe_end(self, stream):
         """Take notice that a stream has ended or was preempted."""
         self._live.discard(stream)
 
@@ -95,6 +95,6 @@
             duration_ms=(self._ended_at - self._began_at) * 1e3,
             online=sum(not is_batch for is_batch, _ in seen),
             batch=sum(is_batch for is_batch, _ in seen),
-            online_characters=sum(n for is_batch, n in seen if not is_batch),
-            batch_characters=sum(n for is_batch, n in seen if is_batch),
+            online_prompt_chars=sum(n for is_batch, n in seen if not is_batch),
+            batch_prompt_chars=sum(n for is_batch, n in seen if is_batch),
         )
--- a/pimentowick/scheduling/tests/test_admission.py
+++ b/pimentowick/scheduling/tests/test_admission.py
@@ -81,7 +81,7 @@
     assert results == [list(range(TOKENS))] * 8
     assert scheme.preemptions == 6
     assert engine.resumes == resumes
-    assert scheme.count_held_batch() == scheme.count_online() == 0
+    assert scheme.count_batch_items() == scheme.count_online() == 0
 
 
 def test_burst_loses_no_token():
@@ -132,10 +132,10 @@
         online = collect(make_work("online/0", 20), engine, scheme)
         online = asyncio.ensure_future(online)
         await asyncio.sleep(0.1)
-        assert scheme.preemptions == 1 and scheme.count_held_batch() == 1
+        assert scheme.preemptions == 1 and scheme.count_batch_items() == 1
         item.cancel()
         await asyncio.gather(item, return_exceptions=True)
-        assert scheme.count_held_batch() == 0
+        assert scheme.count_batch_items() == 0
         await online
         again = await collect(make_work("batch/1"), engine, scheme)
         assert again == list(range(TOKENS))
@@ -147,7 +147,7 @@
 def test_no_places_for_batch():
     async def check():
         scheme = make_admission(model.make_limiter("averse", 0), max_batch=0)
-        assert scheme.count_free_batch() == 0
+        assert scheme.count_free_batch_slots() == 0
         with pytest.raises(exception.RefusedError, match="No place"):
             await scheme.admit_batch(admission.Ticket(workspace="w"))
 
@@ -222,8 +222,8 @@
         loop = asyncio.get_running_loop()
         with pytest.raises(exception.RefusedError, match="No place"):
             await scheme.admit_batch(admission.Ticket(workspace="w"))
-        assert loop.time() == pytest.approx(admission.HOLD_S)
-        assert scheme.count_held_batch() == 0
+        assert loop.time() == pytest.approx(admission.MAX_BATCH_WAIT_S)
+        assert scheme.count_batch_items() == 0
 
     simulation.run(check())
 
--- a/pimentowick/scheduling/tests/test_policy.py
+++ b/pimentowick/scheduling/tests/test_policy.py
@@ -1,17 +1,17 @@
 import random
 
-from pimentowick.scheduling import fairness, model, served, step
+from pimentowick.scheduling import fairness, model, step, token_accounting
 
 
-def teach(limiter, slope_ms=0.4, read_ms=0.02, steps=400):
+def teach(limiter, per_stream_ms=0.4, prefill_ms=0.02, steps=400):
     """Show a limiter the steps of an engine with a base of 20 ms."""
     rng = random.Random(1)
     for _ in range(steps):
         online, batch = rng.randrange(1, 8), rng.randrange(8)
-        characters = 400 * (rng.random() < 0.2)
-        duration_ms = 20 + slope_ms * (online + batch) + read_ms * characters
-        limiter.note_step(step.Step(duration_ms, online, batch, characters))
-        limiter.note_step(step.Step(duration_ms, online, batch, 0, characters))
+        prompt_chars = 400 * (rng.random() < 0.2)
+        duration_ms = 20 + per_stream_ms * (online + batch) + prefill_ms * prompt_chars
+        limiter.observe_step(step.Step(duration_ms, online, batch, prompt_chars))
+        limiter.observe_step(step.Step(duration_ms, online, batch, 0, prompt_chars))
 
 
 def test_limits_follow_the_engine():
@@ -27,7 +27,7 @@
     limiter = model.make_limiter("throughput", 32)
     teach(limiter)
     before = limiter.get_limit(4)
-    teach(limiter, slope_ms=2.0, steps=4000)
+    teach(limiter, per_stream_ms=2.0, steps=4000)
     assert limiter.get_limit(4) < before
 
 
@@ -39,7 +39,7 @@
     """
     limiter = model.make_limiter("averse", 32)
     teach(limiter)
-    limiter.note_step(step.Step(1000.0, online=4, batch=2))
+    limiter.observe_step(step.Step(1000.0, online=4, batch=2))
     assert limiter.predict(0) < 21
 
 
@@ -50,9 +50,9 @@
     """
     limiter = model.make_limiter("averse", 32)
     teach(limiter)
-    assert limiter.can_start(4000, reading=0, online=0, batch=0)
-    assert not limiter.can_start(4000, reading=4000, online=0, batch=1)
-    assert not limiter.can_start(40_000, reading=400, online=4, batch=1)
+    assert limiter.can_start(4000, prefilling=0, online=0, batch=0)
+    assert not limiter.can_start(4000, prefilling=4000, online=0, batch=1)
+    assert not limiter.can_start(40_000, prefilling=400, online=4, batch=1)
 
 
 def test_idle_time_is_not_taken_for_a_step():
@@ -62,12 +62,12 @@
     """
     now = [0.0]
     steps = []
-    meter = step.StepMeter(steps.append, clock=lambda: now[0])
+    step_tracker = step.StepTracker(steps.append, clock=lambda: now[0])
     for name in ("a", "b"):
         for _ in range(3):
             now[0] += 0.02
-            meter.note_token(name, is_batch=False)
-        meter.note_end(name)
+            step_tracker.observe_token(name, is_batch=False)
+        step_tracker.observe_end(name)
         now[0] += 5.0
     assert [round(each.duration_ms) for each in steps] == [20, 20, 20]
 
@@ -86,9 +86,9 @@
     queue = fairness.FairQueue()
     for name in ("a", "b"):
         queue.push(name, f"{name}-new", cost=10)
-    queue.push("a", "a-preempted", cost=10, paid=True)
+    queue.push("a", "a-preempted", cost=10, charged=True)
     queue.pop()
-    queue.push("b", "b-preempted", cost=10, paid=True)
+    queue.push("b", "b-preempted", cost=10, charged=True)
     assert queue.pop() in ("a-preempted", "b-preempted", "b-new")
     assert len(queue) == 2
 
@@ -98,11 +98,11 @@
 
     Had it saved up its share, its rivals would get nothing until it has caught up.
     """
-    tokens = served.ServedTokens()
+    tokens = token_accounting.TokenAccounting()
     tokens.sort(["busy", "back"])
-    tokens.note_report("agent", {"busy": 0.0, "back": 0.0})
+    tokens.record_report("agent", {"busy": 0.0, "back": 0.0})
     tokens.sort(["busy"])
-    tokens.note_report("agent", {"busy": 10_000.0, "back": 0.0})
+    tokens.record_report("agent", {"busy": 10_000.0, "back": 0.0})
     assert tokens.sort(["back", "busy"]) == ["back", "busy"]
     tokens.begin("back", weight=1.0)
     assert tokens.sort(["back", "busy"]) == ["busy", "back"]
--- a/pimentowick/scheduling/served.py
+++ b/pimentowick/scheduling/token_accounting.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-__all__ = ["ServedTokens"]
+__all__ = ["TokenAccounting"]
 
 FIRST_COST = 64.0
 SMOOTHING = 0.1
@@ -20,22 +20,22 @@
         return self.tokens + self.in_flight
 
 
-class ServedTokens:
+class TokenAccounting:
     """Tokens by workspace, divided by its weight, as agents report them.
 
     Reports are as old as a heartbeat; the expected tokens of what this entry has in
     flight are added to them.
 
     Examples:
-        >>> served = ServedTokens()
+        >>> served = TokenAccounting()
         >>> served.sort(["a", "b"])
         ['a', 'b']
         >>> cost = served.begin("a", weight=1.0)
         >>> served.sort(["a", "b"])
         ['b', 'a']
         >>> served.end("a", cost)
-        >>> served.note_report("agent", {"a": 0.0, "b": 0.0})
-        >>> served.note_report("agent", {"a": 64.0, "b": 640.0})
+        >>> served.record_report("agent", {"a": 0.0, "b": 0.0})
+        >>> served.record_report("agent", {"a": 64.0, "b": 640.0})
         >>> served.sort(["b", "a"])
         ['a', 'b']
     """
@@ -72,12 +72,12 @@
         account = self._get(workspace)
         account.in_flight = max(0.0, account.in_flight - cost)
 
-    def note_cost(self, workspace, tokens):
+    def record_cost(self, workspace, tokens):
         """Take notice of what an item of a workspace asks for."""
         account = self._get(workspace)
         account.mean_cost += SMOOTHING * (tokens - account.mean_cost)
 
-    def note_report(self, agent, served):
+    def record_report(self, agent, served):
         """Take an agent's counts by workspace; they only grow while it lives."""
         before = self._reports.get(agent)
         self._reports[agent] = served
@@ -88,7 +88,7 @@
             if grown > 0:
                 self._get(name).tokens += grown
 
-    def forget_agents(self, present):
+    def retain_agents(self, present):
         """Drop the counts of agents that are gone."""
         for agent in set(self._reports) - set(present):
             del self._reports[agent]
--- a/pimentowick/scheduling/tally.py
+++ b/pimentowick/scheduling/token_counter.py
@@ -9,23 +9,23 @@
 import collections
 import time
 
-__all__ = ["Tally"]
+__all__ = ["TokenCounter"]
 
 LISTED = 64
 FORGET_S = 60.0
 
 
-class Tally:
+class TokenCounter:
     """Counts tokens by workspace, divided by its weight.
 
     Args:
         clock: Function that returns monotonic seconds.
 
     Examples:
-        >>> tally = Tally()
-        >>> tally.add("a", 10, weight=1.0)
-        >>> tally.add("b", 10, weight=2.0)
-        >>> tally.describe()
+        >>> token_counter = TokenCounter()
+        >>> token_counter.add("a", 10, weight=1.0)
+        >>> token_counter.add("b", 10, weight=2.0)
+        >>> token_counter.describe()
         {'b': 5.0, 'a': 10.0}
     """
 
--- a/pimentowick/tests/test_tls.py
+++ b/pimentowick/tests/test_tls.py
@@ -188,7 +188,7 @@
         )
         await entry.start()
         try:
-            await fleet.wait_for(lambda: entry.is_ready and entry.fleet.read_at)
+            await fleet.wait_for(lambda: entry.is_ready and entry.fleet.hosts_read_at)
         finally:
             await entry.close()
             for server in servers:
