--- a/pimentowick/membership/__init__.py
+++ b/pimentowick/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which hosts and targets take work."""
+"""Membership, health and leases of the agents that an entry uses."""
--- a/pimentowick/membership/fleet.py
+++ b/pimentowick/membership/fleet.py
@@ -1,12 +1,13 @@
-"""The agents that an entry knows, and how each of them is.
+"""The agents known to an entry, and their health.
 
-The host list says which agents exist; it lags. What an agent says of itself in its
-heartbeat answers, and how requests to it end, count before it.
+The host list names the existing agents, but it lags. The reports in an agent's
+heartbeat answers and the outcomes of requests to it take precedence.
 
-The host list does not say what an agent's target serves. Each new agent is asked
-once, and now and then again; of each service the entry then keeps a bounded number
-of agents, its peers. One task for each peer sends the heartbeats: often while batch
-items of its service wait or run, since the lease has to be renewed, seldom otherwise.
+The host list does not say which service an agent's target serves, so each new agent is
+probed with a heartbeat, and agents that are not peers are probed again periodically.
+Of each service the entry then uses a bounded number of agents, its peers. One task per
+peer sends heartbeats: frequently while batch items of its service are pending or
+running, to renew the lease, and infrequently otherwise.
 """
 
 import asyncio
@@ -28,221 +29,235 @@
 __all__ = ["Fleet"]
 
 HEARTBEAT_TIMEOUT_S = 1.0
-SILENT_AFTER_HEARTBEATS = 4
-SILENT_AFTER_SELDOM = 2.4
-EJECT_FIRST_S = 0.5
-EJECT_LAST_S = 10.0
-SURVEY_AT_ONCE = 8
-SURVEY_CHECK_S = 60.0
-SURVEY_AGAIN_S = 3600.0
-"""Time after which an agent that is no peer is asked again what it serves."""
-LEASES_AT_FIRST = 2
-"""Agents of a service with batch work that are asked for a lease at once."""
-LEASES_UNUSED_S = 5.0
-"""Time without a shortage after which leases beyond those are given up."""
+MAX_MISSED_HEARTBEATS = 4
+"""Minimum silence after which a peer is unusable, in heartbeat periods."""
+MAX_MISSED_INTERVALS = 2.4
+"""The same in the peer's own heartbeat intervals, which may be longer."""
+MIN_EJECTION_S = 0.5
+MAX_EJECTION_S = 10.0
+DISCOVERY_BATCH_SIZE = 8
+DISCOVERY_POLL_S = 60.0
+REDISCOVERY_S = 3600.0
+"""Interval at which an agent that is not a peer is probed again."""
+MIN_LEASES_PER_SERVICE = 2
+"""Number of leases to request immediately for a service with batch work."""
+SURPLUS_LEASE_S = 5.0
+"""Time without a shortage after which unused further leases are released."""
 RENEWALS_PER_LEASE = 3
 RENEWAL_JITTER = 0.05
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Agent:
-    """One agent of the host list, whether or not this entry talks to it.
+    """An agent of the host list, whether or not it is a peer of this entry.
 
     Attributes:
-        host: `pimentowick.external.hosts.Host`.
-        rank: Its weight in the ranking of this entry.
-        report: Answer to the question what it serves, or None.
-        heartbeat_sent_at: Monotonic time of that question.
-        tries: Questions without an answer.
+        host: `pimentowick.external.hosts.Host` of the agent.
+        rank: Rendezvous weight of the agent for this entry.
+        report: Last heartbeat answer, or None before the first one.
+        heartbeat_sent_at: Monotonic time at which the last probe was sent, in seconds.
+        failed_probes: Number of consecutive probes without an answer.
     """
 
     host: object
     rank: bytes
     report: dict | None = None
     heartbeat_sent_at: float = 0.0
-    tries: int = 0
+    failed_probes: int = 0
 
     @property
-    def served(self):
-        """Kind and name of what the target serves, or None if that is unknown."""
+    def service_key(self):
+        """Kind and name of the target's service, or None if not known yet."""
         if self.report is None:
             return None
         return self.report.get("kind"), self.report.get("service")
 
 
 class Fleet:
-    """The agents that this entry talks to, and the other entries.
+    """The agents used by this entry, and the other entries.
 
     Args:
         hosts: `pimentowick.external.hosts.HostList`.
         client: `pimentowick.client.Client` for heartbeats.
         settings: `pimentowick.settings.EntrySettings`.
         owner: Name under which this process holds leases.
-        is_fresh: Function that says whether this process knows what the log held
-            a moment ago, without which it must not renew a lease.
+        is_log_current: Function that returns whether this process has read the log up
+            to a recent time; leases are renewed only then.
 
     Attributes:
-        peers: `pimentowick.membership.peer.Peer` by the name of its host: a bounded
-            number for each service.
+        peers: `pimentowick.membership.peer.Peer` objects by host name, a bounded number
+            per service.
         entries: `pimentowick.external.hosts.Host` of each entry, by name.
-        ejections: How often an agent was left without work for a while.
-        changed: Set whenever work may have become possible.
+        hosts_read_at: Monotonic time of the last successful read of the host list, in
+            seconds, or None before.
+        ejections: Number of ejections of peers so far.
+        changed: Event that is set whenever it may have become possible to dispatch
+            work.
     """
 
-    def __init__(self, hosts, client, settings, owner, is_fresh):
+    def __init__(self, hosts, client, settings, owner, is_log_current):
         self._agents = {}
-        self._hosts_seen = None
-        self._listed = asyncio.Event()
+        self._last_hosts = None
+        self._agents_added = asyncio.Event()
         self._batch_services = frozenset()
-        self._short_at = {}
+        self._last_shortage_at = {}
         self.peers = {}
         self.entries = {}
         self.changed = asyncio.Event()
         self._pools = {}
         self.hosts_read_at = None
         self.ejections = 0
-        self._sees_all = False
+        self._tracks_all = False
         self._hosts = hosts
         self._client = client
         self._settings = settings
         self._owner = owner
-        self._is_fresh = is_fresh
+        self._is_log_current = is_log_current
         self._supervisor = supervisor.Supervisor("fleet")
 
     async def start(self):
-        """Begin to read the host list."""
+        """Start reading the host list and discovering agents."""
         await self._supervisor.start()
         self._supervisor.start_child("hosts", self._watch_hosts)
-        self._supervisor.start_child("survey", self._survey)
+        self._supervisor.start_child("survey", self._discover_agents)
 
     async def close(self):
-        """Stop all heartbeats."""
+        """Stop all background tasks, including heartbeats."""
         await self._supervisor.close()
 
     async def _watch_hosts(self):
         while True:
             try:
-                self._take_hosts(await self._hosts.read())
+                self._update_hosts(await self._hosts.read())
             except exception.PimentowickError as error:
-                # A host list that is down says nothing about the hosts: all that
-                # is known stays, and heartbeats tell who is gone.
+                # While the host list is unavailable, the last known hosts are kept, and
+                # heartbeats detect failed agents.
                 logger.warning("fleet: The host list is not readable. {}", error)
             await asyncio.sleep(self._settings.host_poll_s * random.uniform(0.8, 1.2))
 
-    def _take_hosts(self, hosts):
+    def _update_hosts(self, hosts):
         self.hosts_read_at = time.monotonic()
-        if hosts is self._hosts_seen:
+        if hosts is self._last_hosts:
             return
-        self._hosts_seen = hosts
+        self._last_hosts = hosts
         self.entries = {host.name: host for host in hosts if host.role == "entry"}
         agents = {host.name: host for host in hosts if host.role == "agent"}
         for name, host in agents.items():
-            self._take_agent(name, host)
+            self._update_agent(name, host)
         for name in set(self._agents) - set(agents):
             del self._agents[name]
-        self._choose_peers({agent.served for agent in self._agents.values()})
+        self._select_peers({agent.service_key for agent in self._agents.values()})
         for name in set(self.peers) - set(agents):
             self._drop_peer(name)
         self.changed.set()
 
-    def _take_agent(self, name, host):
+    def _update_agent(self, name, host):
         agent = self._agents.get(name)
         if agent is None or agent.host.address != host.address:
             rank = subset.rank_agent(self._settings.name, name)
             self._agents[name] = _Agent(host, rank)
-            self._listed.set()
+            self._agents_added.set()
             return
         agent.host = host
         peer = self.peers.get(name)
         if peer is not None and peer.address == host.address and peer.host != host:
-            # The failure domain or the state may be another one.
-            self._leave_pools(peer)
+            # The failure domain or the state may have changed.
+            self._remove_from_pools(peer)
             peer.host = host
-            self._index(peer)
+            self._update_pools(peer)
 
-    async def _survey(self):
-        """Ask the agents what they serve, those first that come first as peers."""
+    async def _discover_agents(self):
+        """Probe agents for the services they serve, preferred peers first."""
         while True:
-            waiting = self._list_unknown()
+            waiting = self._list_undiscovered()
             if not waiting:
                 await self._wait_for_agents()
                 continue
-            group = waiting[:SURVEY_AT_ONCE]
-            await asyncio.gather(*map(self._ask, group))
-            self._choose_peers({agent.served for agent in group})
+            group = waiting[:DISCOVERY_BATCH_SIZE]
+            await asyncio.gather(*map(self._probe, group))
+            self._select_peers({agent.service_key for agent in group})
             if any(agent.report is None for agent in group):
-                # An agent that does not answer is asked again, after the others.
+                # Agents that did not answer are retried after all others.
                 await asyncio.sleep(self._settings.heartbeat_s)
 
     async def _wait_for_agents(self):
-        self._listed.clear()
+        self._agents_added.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SURVEY_CHECK_S):
-                await self._listed.wait()
+            async with asyncio.timeout(DISCOVERY_POLL_S):
+                await self._agents_added.wait()
 
-    def _list_unknown(self):
+    def _list_undiscovered(self):
         now = time.monotonic()
-        unknown = [
+        undiscovered = [
             agent
             for name, agent in self._agents.items()
             if agent.report is None
             or (
-                name not in self.peers
-                and now - agent.heartbeat_sent_at > SURVEY_AGAIN_S
+                name not in self.peers and now - agent.heartbeat_sent_at > REDISCOVERY_S
             )
         ]
-        return sorted(unknown, key=self._get_survey_order)
+        return sorted(undiscovered, key=self._get_discovery_priority)
 
-    def _get_survey_order(self, agent):
-        is_far = agent.host.failure_domain != self._settings.failure_domain
-        return agent.tries, is_far, agent.rank
+    def _get_discovery_priority(self, agent):
+        is_remote = agent.host.failure_domain != self._settings.failure_domain
+        return agent.failed_probes, is_remote, agent.rank
 
-    async def _ask(self, agent):
+    async def _probe(self, agent):
         agent.heartbeat_sent_at = time.monotonic()
         try:
-            agent.report = await self._ask_report(agent.host.address, {})
-            agent.tries = 0
+            agent.report = await self._post_heartbeat(agent.host.address, {})
+            agent.failed_probes = 0
         except exception.PimentowickError:
-            agent.tries += 1
+            agent.failed_probes += 1
 
-    async def _ask_report(self, address, fields):
+    async def _post_heartbeat(self, address, fields):
         message = {"entry": self._owner, **fields}
         answer = await self._client.fetch(
             "POST", address, "/heartbeat", message, timeout_s=HEARTBEAT_TIMEOUT_S
         )
         return answer.decode()
 
-    def _choose_peers(self, services):
-        """Choose the peers of some services anew."""
-        ranked = {served: [] for served in services if served is not None}
+    def _select_peers(self, services):
+        """Reselect the peers of the given services.
+
+        Args:
+            services: Pairs of kind and name; None is ignored.
+        """
+        ranked = {
+            service_key: [] for service_key in services if service_key is not None
+        }
         for agent in self._agents.values():
-            if agent.served in ranked:
-                ranked[agent.served].append((agent.rank, agent.host))
+            if agent.service_key in ranked:
+                ranked[agent.service_key].append((agent.rank, agent.host))
         for pairs in ranked.values():
             count = len(pairs)
-            if not self._sees_all:
+            if not self._tracks_all:
                 count = subset.compute_subset_size(
                     self._settings.peers_per_service, count, len(self.entries)
                 )
             chosen = subset.select_subset(pairs, self._settings.failure_domain, count)
-            self._keep_peers({host.name for _, host in pairs}, chosen)
+            self._set_peers({host.name for _, host in pairs}, chosen)
+
+    def track_all_agents(self, enabled):
+        """Use all agents as peers, or a bounded number per service.
 
-    def track_all_agents(self, wanted):
-        """Talk to all agents, or to a bounded number of each service again.
+        The entry that decides on the placement of models needs reports of all engines.
 
-        Who decides on the placement has to know all engines.
+        Args:
+            enabled: Whether to use all agents.
         """
-        if wanted != self._sees_all:
-            self._sees_all = wanted
-            self._choose_peers({agent.served for agent in self._agents.values()})
+        if enabled != self._tracks_all:
+            self._tracks_all = enabled
+            self._select_peers({agent.service_key for agent in self._agents.values()})
 
-    def _keep_peers(self, names, chosen):
+    def _set_peers(self, names, chosen):
         wanted = {host.name for host in chosen}
         for host in chosen:
             self._add_peer(host)
         for name in names - wanted:
             peer = self.peers.get(name)
-            # Without heartbeats its lease would lapse and end what runs there.
+            # Without heartbeats the lease would expire and the agent would cancel the
+            # items that are running.
             if peer is not None and peer.batch == 0:
                 self._drop_peer(name)
 
@@ -251,26 +266,26 @@
         if peer is not None and peer.address == host.address:
             return
         if peer is not None:
-            self._leave_pools(peer)
+            self._remove_from_pools(peer)
         peer = membership_peer.Peer(host)
         agent = self._agents[host.name]
         self.peers[host.name] = peer
-        self._take_report(peer, agent.report, agent.heartbeat_sent_at)
+        self._apply_report(peer, agent.report, agent.heartbeat_sent_at)
         peer.last_seen_at = agent.heartbeat_sent_at
-        logger.info("fleet: Agent {} is at {}.", host.name, host.address)
+        logger.info("fleet: added agent {} at {} as a peer", host.name, host.address)
         self._supervisor.start_child(host.name, self._send_heartbeats, peer)
 
     def _drop_peer(self, name):
-        logger.info("fleet: Agent {} is no longer a peer.", name)
+        logger.info("fleet: removed agent {} from the peers", name)
         self._supervisor.stop_child(name)
-        self._leave_pools(self.peers.pop(name))
+        self._remove_from_pools(self.peers.pop(name))
 
-    def _index(self, peer):
-        """Put a peer into the pool of what it serves, if it is ready."""
+    def _update_pools(self, peer):
+        """Add a peer to the pools of its services if it is ready, else remove it."""
         if self.peers.get(peer.name) is not peer:
             return
         if peer.host.leaving or peer.report.get("state") != "ready":
-            self._leave_pools(peer)
+            self._remove_from_pools(peer)
             return
         keys = {(name, peer.report.get("kind")) for name in peer.list_services()}
         for key, pool in self._pools.items():
@@ -279,68 +294,72 @@
         for key in keys:
             self._pools.setdefault(key, membership_pool.Pool()).add(peer)
 
-    def _leave_pools(self, peer):
+    def _remove_from_pools(self, peer):
         for pool in self._pools.values():
             pool.discard(peer)
 
     async def _send_heartbeats(self, peer):
         while True:
             if not await self._send_heartbeat(peer):
-                # The connection may have fallen silent under a healthy agent; the
-                # next one is new. Waiting first would let the agent pass for dead.
+                # The connection may be stale while the agent is healthy. Retries
+                # immediately on a new one, before the agent is considered dead.
                 await self._send_heartbeat(peer)
-            peer.heartbeat_interval_s = self._get_interval(peer)
-            pause = self._get_pause(peer)
+            peer.heartbeat_interval_s = self._get_heartbeat_interval(peer)
+            delay_s = self._get_heartbeat_delay(peer)
             try:
-                async with asyncio.timeout(pause):
+                async with asyncio.timeout(delay_s):
                     await peer.wake.wait()
             except TimeoutError:
                 continue
             peer.wake.clear()
-            # Failures may come fast; they must not make heartbeats that fast.
+            # Limits the heartbeat rate when many failures wake this task.
             await asyncio.sleep(self._settings.heartbeat_s * random.uniform(0, 0.2))
 
-    def _get_pause(self, peer):
+    def _get_heartbeat_delay(self, peer):
         if not self._wants_lease(peer):
-            return self._align(peer.heartbeat_interval_s * random.uniform(0.8, 1.2))
-        # Rounded up, a renewal that has to be repeated could come after the lease.
-        turn = self._settings.heartbeat_s
-        pause = peer.heartbeat_interval_s * random.uniform(1 - RENEWAL_JITTER, 1)
-        if pause <= turn:
-            return pause
+            return self._align_delay(
+                peer.heartbeat_interval_s * random.uniform(0.8, 1.2)
+            )
+        # Rounded down, so that a retried renewal arrives before the lease expires.
+        period_s = self._settings.heartbeat_s
+        delay_s = peer.heartbeat_interval_s * random.uniform(1 - RENEWAL_JITTER, 1)
+        if delay_s <= period_s:
+            return delay_s
         now = time.monotonic()
-        return max((now + pause) // turn * turn - now, turn / 2)
+        return max((now + delay_s) // period_s * period_s - now, period_s / 2)
 
-    def _align(self, pause):
-        """Return a time near `pause` that ends together with those of other peers.
+    def _align_delay(self, delay_s):
+        """Return a delay near `delay_s` that ends on a multiple of the period.
 
-        A process that wakes for each heartbeat alone spends most of its time on
-        waking.
+        Aligned heartbeats of several peers share one wake-up of the event loop, which
+        saves CPU time.
         """
-        turn = self._settings.heartbeat_s
+        period_s = self._settings.heartbeat_s
         now = time.monotonic()
-        end = round((now + pause) / turn) * turn
-        return max(end - now, turn / 2)
+        end = round((now + delay_s) / period_s) * period_s
+        return max(end - now, period_s / 2)
 
     async def _send_heartbeat(self, peer):
-        """Send a heartbeat, and return whether there was an answer."""
+        """Send a heartbeat to `peer`, and return whether it was answered."""
         sent_at = time.monotonic()
-        # Agents that don't know this name yet answer in full.
+        # Agents that don't support `have` send a full report.
         message = {"have": peer.report.get("version")}
         if not self._wants_lease(peer):
             peer.lease = 0
-        elif self._is_fresh():
+        elif self._is_log_current():
             message["renew"] = peer.lease
         try:
-            answer = await self._ask_report(peer.address, message)
-            self._take_report(peer, answer, sent_at)
+            answer = await self._post_heartbeat(peer.address, message)
+            self._apply_report(peer, answer, sent_at)
             if peer.name in self._agents:
                 self._agents[peer.name].report = peer.report
         except http_client.TransportError:
             self._client.distrust(peer.address)
             return False
         except exception.ValidationError as error:
-            logger.warning("fleet: {} answers nonsense. {}", peer.name, error)
+            logger.warning(
+                "fleet: invalid heartbeat answer of {}: {}", peer.name, error
+            )
         return True
 
     def _wants_lease(self, peer):
@@ -350,101 +369,110 @@
             and not self._batch_services.isdisjoint(peer.list_services())
         )
 
-    def _get_interval(self, peer):
+    def _get_heartbeat_interval(self, peer):
         """Return the time until the next heartbeat to `peer`, in seconds."""
         interval = self._get_report_interval(peer)
         if not self._wants_lease(peer):
             return interval
         lease_s = peer.report.get("lease_s")
         if lease_s is None or not peer.lease:
-            # One that was not asked for, since the log was not read, is soon due.
+            # A renewal omitted because the log was not current is retried soon.
             return self._settings.heartbeat_s
         return min(interval, lease_s / RENEWALS_PER_LEASE)
 
     def _get_report_interval(self, peer):
-        # With many peers all of them share what heartbeats may cost; their answers
-        # to requests show in between how they are.
-        least = len(self.peers) / self._settings.heartbeats_per_s
+        # The rate of all heartbeats is bounded. With many peers the intervals grow, and
+        # the outcomes of requests show the health of a peer in between.
+        min_interval_s = len(self.peers) / self._settings.heartbeats_per_s
         now = time.monotonic()
         if peer.online or now - peer.last_used_at < membership_peer.PEER_ACTIVE_S:
-            return max(self._settings.heartbeat_s, least)
-        return max(self._settings.heartbeat_s, self._settings.idle_heartbeat_s, least)
+            return max(self._settings.heartbeat_s, min_interval_s)
+        return max(
+            self._settings.heartbeat_s, self._settings.idle_heartbeat_s, min_interval_s
+        )
 
     def set_batch_services(self, services):
-        """Say for which services batch items wait or run.
+        """Set the services for which batch items are pending or running.
 
-        Only their agents grant leases to this entry, and of these no more than the
-        work needs: an agent divides its free places by the entries that hold a
+        Leases are requested only from agents of these services, and only as many as
+        the work needs: an agent divides its free slots among the entries that hold a
         lease, and each lease costs heartbeats.
+
+        Args:
+            services: Names of the services.
         """
         self._batch_services = frozenset(services)
         for peer in self.peers.values():
             if self._batch_services.isdisjoint(peer.list_services()):
                 peer.lease_wanted = False
         for service in self._batch_services:
-            self._keep_leases(service)
+            self._adjust_leases(service)
 
-    def _keep_leases(self, service):
+    def _adjust_leases(self, service):
         leased, others = self._split_by_lease(service)
-        missing = LEASES_AT_FIRST - len(leased)
+        missing = MIN_LEASES_PER_SERVICE - len(leased)
         if missing > 0:
-            self._want_leases(others[:missing])
+            self._request_leases(others[:missing])
             return
-        short_at = self._short_at.get(service, 0.0)
+        last_shortage_at = self._last_shortage_at.get(service, 0.0)
         unused = [peer for peer in leased if peer.batch == 0]
-        is_enough = time.monotonic() - short_at > LEASES_UNUSED_S
-        if missing < 0 and unused and is_enough:
+        is_surplus = time.monotonic() - last_shortage_at > SURPLUS_LEASE_S
+        if missing < 0 and unused and is_surplus:
             unused[0].lease_wanted = False
 
     def _split_by_lease(self, service):
-        """Return the usable engines with a wanted lease, and the emptiest others."""
+        """Return the usable engines with a wanted lease, and the others.
+
+        The others are in descending order of their free batch slots.
+        """
         peers = self.list_candidates(service, "engine")
         leased = [peer for peer in peers if peer.lease_wanted]
         others = [peer for peer in peers if not peer.lease_wanted]
-        # The first of a common order would be chosen by all entries alike.
+        # Shuffled, so that the entries don't all prefer the same engine in a tie.
         random.shuffle(others)
         others.sort(key=lambda peer: -peer.report.get("batch_free", 0))
         return leased, others
 
-    def _want_leases(self, peers):
+    def _request_leases(self, peers):
         for peer in peers:
             peer.lease_wanted = True
             if not peer.lease:
                 peer.wake.set()
 
     def on_lease_expired(self, peer):
-        """Take notice of an agent that refused because the lease has lapsed."""
+        """Discard the lease of an agent that refused an item as its lease expired."""
         peer.lease = 0
-        # The next renewal may be seconds away, and until then the agent idles.
+        # Renews immediately; the agent would be idle until the next renewal is due.
         peer.wake.set()
 
     def record_backlog(self, service, items):
-        """Ask more agents for a lease if items wait for which there is no room.
+        """Request more leases if the leased agents have too few free slots.
 
-        The leases in force double until there is room, so that a large job soon has
-        all agents, and a small one no more than it needs.
+        The number of leases doubles until there are enough slots, so that a large job
+        quickly gets all agents and a small one no more than it needs.
 
         Args:
             service: Name of the model.
-            items: How many items wait.
+            items: Number of pending items.
         """
         leased, others = self._split_by_lease(service)
         room = sum(max(0, peer.window - peer.batch) for peer in leased)
         if room >= items:
             return
-        self._short_at[service] = time.monotonic()
-        # Those that were asked and have not answered yet may have the room.
+        self._last_shortage_at[service] = time.monotonic()
+        # Waits for all requested leases, since those agents may have enough slots.
         granted = sum(1 for peer in leased if peer.lease)
         if granted == len(leased):
-            self._want_leases(itertools.islice(others, max(1, granted)))
+            self._request_leases(itertools.islice(others, max(1, granted)))
 
-    def _take_report(self, peer, answer, sent_at):
-        # An answer leaves out what does not change while the agent's process lives.
+    def _apply_report(self, peer, answer, sent_at):
+        # Answers omit fields that stay constant during the agent process's lifetime, so
+        # the previous values are kept.
         peer.report = {**peer.report, **membership_report.REPORT_DEFAULTS, **answer}
         peer.last_seen_at = time.monotonic()
         peer.heartbeat_sent_at = sent_at
         peer.online_at_report = peer.online
-        self._index(peer)
+        self._update_pools(peer)
         lease = answer.get("lease", peer.lease)
         if lease != peer.lease:
             peer.lease = lease
@@ -453,35 +481,41 @@
         share = report.get("batch_free", 0) // max(1, report.get("holders", 1))
         peer.window = peer.batch + share
         if report.get("batch_free") and not share and peer.batch == 0:
-            # Fewer free places than entries: whoever comes first takes one.
+            # There are fewer free slots than lease holders; the first to dispatch wins.
             peer.window = 1
         if self._wants_lease(peer):
             self.changed.set()
 
     def is_usable(self, peer, now=None):
-        """Return whether `peer` may get new work.
+        """Return whether `peer` is ready, alive and may receive requests.
 
         Args:
             peer: The `pimentowick.membership.peer.Peer`.
-            now: Monotonic time, if the caller has it at hand.
+            now: Current monotonic time in seconds; None reads the clock.
         """
         now = time.monotonic() if now is None else now
         if peer.host.leaving or peer.report.get("state") != "ready":
             return False
-        silence = SILENT_AFTER_HEARTBEATS * self._settings.heartbeat_s
-        # One that is seldom asked may miss one answer; a request that then meets a
-        # dead agent ends as not run and goes elsewhere.
-        silence = max(silence, SILENT_AFTER_SELDOM * peer.heartbeat_interval_s)
-        return now - peer.last_seen_at < silence + HEARTBEAT_TIMEOUT_S
+        max_silence_s = MAX_MISSED_HEARTBEATS * self._settings.heartbeat_s
+        # A peer with a long heartbeat interval may miss one answer. A request sent to
+        # an agent that has failed meanwhile ends as not run and is retried elsewhere.
+        max_silence_s = max(
+            max_silence_s, MAX_MISSED_INTERVALS * peer.heartbeat_interval_s
+        )
+        return now - peer.last_seen_at < max_silence_s + HEARTBEAT_TIMEOUT_S
 
     def get_pool(self, name, kind):
         """Return the `pimentowick.membership.pool.Pool` of a service."""
         return self._pools.get((name, kind)) or membership_pool.Pool()
 
     def list_candidates(self, name, kind):
-        """Return the peers that serve `name` and may get new work.
+        """Return the usable peers of a service, without the ejected ones.
+
+        If all usable peers are ejected, all of them are returned.
 
-        Ejected ones are left out; the pool bounds how many may be ejected.
+        Args:
+            name: Name of the model or service.
+            kind: ``engine`` or ``service``.
         """
         now = time.monotonic()
         usable = [
@@ -492,7 +526,7 @@
         return [peer for peer in usable if peer.ejected_until <= now] or usable
 
     def list_services(self, kind):
-        """Return the names of what the known targets of `kind` serve."""
+        """Return the names of the services of all peers whose target is of `kind`."""
         return {
             name
             for peer in self.peers.values()
@@ -501,31 +535,37 @@
         }
 
     def record_success(self, peer):
-        """Take notice of a request that ended well."""
+        """Record a successful request to `peer`."""
         peer.failures = 0
         peer.last_used_at = time.monotonic()
-        # The whole answer shows that it lives; how full it is, only a report does.
+        # A complete response proves that the agent is alive, but not what its load is.
         peer.last_seen_at = peer.last_used_at
 
     def record_failure(self, peer):
-        """Take notice of a failed request; eject the peer for a while."""
+        """Record a failed request to `peer`, and eject it temporarily."""
         pools = [pool for pool in self._pools.values() if peer in pool]
         self.eject(pools, peer, time.monotonic())
 
     def eject(self, pools, peer, now):
-        """Count a failure of a member of `pools`, and eject it if all of them may."""
+        """Count a failure of `peer`, and eject it if all its pools permit it.
+
+        Args:
+            pools: Each `pimentowick.membership.pool.Pool` with this member.
+            peer: The `pimentowick.membership.peer.Peer`.
+            now: Current monotonic time in seconds.
+        """
         peer.failures += 1
         peer.last_used_at = time.monotonic()
         peer.wake.set()
         if not all(pool.can_eject(peer, now) for pool in pools):
             return
         self.ejections += 1
-        pause = min(EJECT_FIRST_S * 2 ** (peer.failures - 1), EJECT_LAST_S)
-        peer.ejected_until = now + pause * random.uniform(0.8, 1.2)
+        duration_s = min(MIN_EJECTION_S * 2 ** (peer.failures - 1), MAX_EJECTION_S)
+        peer.ejected_until = now + duration_s * random.uniform(0.8, 1.2)
         for pool in pools:
             pool.record_ejection(peer, peer.ejected_until)
 
     def record_draining(self, peer):
-        """Take notice of an agent that refused because it drains."""
+        """Record that an agent refused a request because it is draining."""
         peer.report = {**peer.report, "state": "draining"}
-        self._index(peer)
+        self._update_pools(peer)
--- a/pimentowick/membership/peer.py
+++ b/pimentowick/membership/peer.py
@@ -1,4 +1,4 @@
-"""One agent and its target, as an entry knows them."""
+"""State that an entry keeps about an agent and its target."""
 
 import asyncio
 import dataclasses
@@ -6,33 +6,34 @@
 __all__ = ["PEER_ACTIVE_S", "Peer"]
 
 PEER_ACTIVE_S = 5.0
-"""Time for which a peer counts as in use after a request to it, in seconds."""
+"""Time after its last request for which a peer is considered in use."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Peer:
-    """One agent and its target, as this entry knows them.
+    """State that this entry keeps about an agent and its target.
+
+    All times are monotonic, in seconds.
 
     Attributes:
         host: `pimentowick.external.hosts.Host` of the agent.
-        report: The last heartbeat answer.
-        last_seen_at: Monotonic time of the last heartbeat answer; 0 before.
-        heartbeat_sent_at: Monotonic time at which the heartbeat answered by `report`
-            was sent; the report is newer.
-        online: Online requests of this entry in flight there.
-        online_at_report: What `online` was when the last report came.
-        batch: Batch items of this entry in flight there.
-        window: Batch items that this entry may have in flight there.
-        lease: Number of the lease, 0 while there is none.
-        lease_requested_at: Monotonic time at which the heartbeat that obtained the
-            lease was sent.
-        failures: Failed requests in a row.
-        ejected_until: Monotonic time until which the agent gets no work.
-        lease_wanted: Whether this entry wants a lease for batch items there.
-        solo: Whether a suspected batch item runs alone there.
-        last_used_at: Monotonic time at which the last request there ended.
-        heartbeat_interval_s: Time until the next heartbeat, in seconds.
-        wake: Set to send the next heartbeat at once.
+        report: Last heartbeat answer, merged with the previous ones.
+        last_seen_at: Time of the last heartbeat answer or complete response; 0 before.
+        heartbeat_sent_at: Time at which the last answered heartbeat was sent.
+        online: Number of this entry's online requests in flight at the target.
+        online_at_report: Value of `online` when the last report was received.
+        batch: Number of this entry's batch items in flight at the target.
+        window: Maximum number of this entry's batch items in flight at the target.
+        lease: Id of the lease, or 0 without one.
+        lease_requested_at: Time at which the heartbeat that obtained the lease was
+            sent.
+        lease_wanted: Whether this entry wants a lease for batch items.
+        failures: Number of consecutive failed requests.
+        ejected_until: Time until which the agent is ejected.
+        solo: Whether an item suspected of crashing targets runs alone at the target.
+        last_used_at: Time at which the last request to the target ended.
+        heartbeat_interval_s: Interval between heartbeats.
+        wake: Event to set in order to send the next heartbeat immediately.
     """
 
     host: object
@@ -55,7 +56,7 @@
 
     @property
     def name(self):
-        """Name of the host."""
+        """Name of the agent's host."""
         return self.host.name
 
     @property
@@ -69,33 +70,34 @@
         return self.report.get("service")
 
     def list_services(self):
-        """Return the names of what the target serves.
+        """Return the names of the models or the service that the target serves.
 
-        An engine that was given orders serves what it has loaded.
+        An engine that has received placement orders serves the models it has loaded.
         """
         if self.report.get("fence"):
             return self.report.get("models", [])
         return [self.service]
 
     def estimate_load(self, senders=1):
-        """Return how full the target is: the report, and what was sent since.
+        """Return the estimated load of the target as a fraction of its online slots.
 
-        The report counts the requests of all entries, but is as old as the last
-        heartbeat; own requests are exact. So the report is corrected by what the
-        own ones have become since, and is never below these.
+        The last report covers the requests of all entries, but is outdated. It is
+        adjusted by the change of this entry's own requests since the report, and is at
+        least the number of own requests.
 
         Args:
-            senders: How many entries are taken to have sent as many more.
+            senders: Number of entries that are assumed to have sent as many additional
+                requests as this entry.
         """
-        since = self.online - self.online_at_report
-        if since > 0:
-            since *= senders
+        sent_since_report = self.online - self.online_at_report
+        if sent_since_report > 0:
+            sent_since_report *= senders
         reported = self.report.get("online", 0)
-        return max(reported + since, self.online) / self._get_limit()
+        return max(reported + sent_since_report, self.online) / self._get_max_online()
 
     def get_reported_load(self):
-        """Return how full the target was at the last report."""
-        return self.report.get("online", 0) / self._get_limit()
+        """Return the load of the target according to its last report."""
+        return self.report.get("online", 0) / self._get_max_online()
 
-    def _get_limit(self):
+    def _get_max_online(self):
         return max(1, self.report.get("max_online", 1))
--- a/pimentowick/membership/pool.py
+++ b/pimentowick/membership/pool.py
@@ -1,7 +1,8 @@
-"""The targets of one service, kept so that a choice doesn't look at all of them.
+"""Index of the targets of one service for load balancing in constant time.
 
-A pool changes when a report changes, not when a request comes. A choice then draws
-a few members or walks a few steps along a ring, whatever their number.
+A pool is updated when a report changes, not for each request. Choosing a target then
+samples a few members or visits a few points of a hash ring, independent of the number
+of members.
 """
 
 import bisect
@@ -11,27 +12,27 @@
 
 __all__ = ["Pool"]
 
-POINTS = 16
-"""Points of each member on the ring."""
-DRAWN = 8
-"""Members that one draw looks at."""
-EJECT_SHARE = 0.5
-"""Most of the members that may be ejected at once."""
+VIRTUAL_NODES = 16
+"""Number of points of each member on the ring."""
+DRAW_SIZE = 8
+"""Maximum number of members returned by `Pool.draw`."""
+MAX_EJECTED_FRACTION = 0.5
+"""Maximum fraction of the members that may be ejected at the same time."""
 
 
 class Pool:
-    """The ready targets of one service.
+    """Ready targets of one service.
 
     Args:
-        rng: `random.Random` for draws.
+        rng: `random.Random` for sampling.
 
     Attributes:
-        members: List of `pimentowick.membership.peer.Peer`, in no order.
+        members: List of `pimentowick.membership.peer.Peer`, unordered.
 
     Notes:
-        The ring is that of consistent hashing: a key belongs to the member whose
-        point follows it, so one that comes or goes moves only the keys next to its
-        own points.
+        Consistent hashing maps a key to the member whose point on the ring follows the
+        key's hash. Adding or removing a member remaps only the keys adjacent to its
+        points.
 
     References:
         D. Karger et al., "Consistent hashing and random trees", Proceedings of the
@@ -53,11 +54,11 @@
     def __init__(self, rng=None):
         self.members = []
         self._rng = rng or random.Random()
-        self._names = {}
+        self._by_name = {}
         self._positions = {}
-        self._domains = {}
-        self._hashes = []
-        self._owners = []
+        self._by_domain = {}
+        self._ring_points = []
+        self._ring_peers = []
         self._loads = {}
         self._load_sum = 0.0
         self._ejected = {}
@@ -74,11 +75,11 @@
         return self._load_sum / max(1, len(self.members))
 
     def add(self, peer):
-        """Take a member in, or take notice of its newest report."""
+        """Add a member, or update the load of an existing one from its last report."""
         if peer not in self._positions:
-            self._names[peer.name] = peer
+            self._by_name[peer.name] = peer
             _append(self.members, self._positions, peer)
-            domain = self._domains.setdefault(peer.host.failure_domain, ([], {}))
+            domain = self._by_domain.setdefault(peer.host.failure_domain, ([], {}))
             _append(*domain, peer)
             self._insert_points(peer)
         load = peer.get_reported_load()
@@ -86,55 +87,59 @@
         self._loads[peer] = load
 
     def discard(self, peer):
-        """Let a member go; nothing happens if it is none."""
+        """Remove a peer if it is a member."""
         if peer not in self._positions:
             return
-        del self._names[peer.name]
+        del self._by_name[peer.name]
         _remove(self.members, self._positions, peer)
-        for name, domain in self._domains.items():
+        for name, domain in self._by_domain.items():
             if peer in domain[1]:
                 _remove(*domain, peer)
                 if not domain[0]:
-                    del self._domains[name]
+                    del self._by_domain[name]
                 break
         self._remove_points(peer)
         self._load_sum -= self._loads.pop(peer)
         self._ejected.pop(peer, None)
 
     def find(self, name):
-        """Return the member called `name`, or None."""
-        return self._names.get(name)
+        """Return the member with the host name `name`, or None."""
+        return self._by_name.get(name)
 
     def draw(self, failure_domain=None):
-        """Return a few random members, or all if they are few.
+        """Return up to `DRAW_SIZE` random members.
 
         Args:
-            failure_domain: Only members there; None means everywhere.
+            failure_domain: Restricts the sample to a failure domain; None for all.
         """
         members = self.members
         if failure_domain is not None:
-            members = self._domains.get(failure_domain, ([], {}))[0]
-        return self._rng.sample(members, min(DRAWN, len(members)))
+            members = self._by_domain.get(failure_domain, ([], {}))[0]
+        return self._rng.sample(members, min(DRAW_SIZE, len(members)))
 
     def find_successors(self, key, count):
-        """Return up to `count` members that follow `key` on the ring."""
-        found = []
-        if not self._owners:
-            return found
-        start = bisect.bisect_left(self._hashes, _hash_point(key, None))
-        for step in range(min(len(self._owners), count * 4)):
-            owner = self._owners[(start + step) % len(self._owners)]
-            if owner not in found:
-                found.append(owner)
-                if len(found) == count:
+        """Return up to `count` distinct members that follow `key` on the ring."""
+        successors = []
+        if not self._ring_peers:
+            return successors
+        start = bisect.bisect_left(self._ring_points, _hash_point(key, None))
+        for step in range(min(len(self._ring_peers), count * 4)):
+            member = self._ring_peers[(start + step) % len(self._ring_peers)]
+            if member not in successors:
+                successors.append(member)
+                if len(successors) == count:
                     break
-        return found
+        return successors
 
     def can_eject(self, peer, now):
-        """Return whether `peer` may be ejected as well.
+        """Return whether `peer` is ejected already or may be ejected.
 
-        When most of the members fail, the cause is seldom with them, and the few
-        that remained would drown in the work of all.
+        If most members fail, the cause is rarely the members themselves, and the few
+        remaining ones would be overloaded.
+
+        Args:
+            peer: The `pimentowick.membership.peer.Peer`.
+            now: Current monotonic time in seconds.
         """
         self._ejected = {
             each: until for each, until in self._ejected.items() if until > now
@@ -143,29 +148,31 @@
 
     @property
     def is_at_ejection_limit(self):
-        """Whether as many members are ejected as may be."""
-        return len(self._ejected) >= math.floor(len(self.members) * EJECT_SHARE)
+        """Whether the maximum number of members is ejected."""
+        return len(self._ejected) >= math.floor(
+            len(self.members) * MAX_EJECTED_FRACTION
+        )
 
     def record_ejection(self, peer, until):
-        """Take notice that a member gets no work until some monotonic time."""
+        """Record that a member is ejected until the monotonic time `until`."""
         if peer in self._positions:
             self._ejected[peer] = until
 
     def _insert_points(self, peer):
-        for number in range(POINTS):
+        for number in range(VIRTUAL_NODES):
             point = _hash_point(peer.name, number)
-            index = bisect.bisect_left(self._hashes, point)
-            self._hashes.insert(index, point)
-            self._owners.insert(index, peer)
+            index = bisect.bisect_left(self._ring_points, point)
+            self._ring_points.insert(index, point)
+            self._ring_peers.insert(index, peer)
 
     def _remove_points(self, peer):
-        for number in range(POINTS):
+        for number in range(VIRTUAL_NODES):
             point = _hash_point(peer.name, number)
-            index = bisect.bisect_left(self._hashes, point)
-            while self._owners[index] is not peer:
+            index = bisect.bisect_left(self._ring_points, point)
+            while self._ring_peers[index] is not peer:
                 index += 1
-            del self._hashes[index]
-            del self._owners[index]
+            del self._ring_points[index]
+            del self._ring_peers[index]
 
 
 def _hash_point(name, number):
@@ -179,7 +186,7 @@
 
 
 def _remove(members, positions, peer):
-    """Remove in constant time: the last member takes the place."""
+    """Remove in constant time by moving the last member to the freed index."""
     index = positions.pop(peer)
     last = members.pop()
     if last is not peer:
--- a/pimentowick/membership/report.py
+++ b/pimentowick/membership/report.py
@@ -1,8 +1,7 @@
-"""What a heartbeat answer may leave out.
+"""Default values of the fields of a heartbeat answer.
 
-Most answers come from agents that do nothing, and would say so in nine figures.
-An answer that leaves one of them out says that it has the value given here; the
-reader must not keep the older value then.
+Most answers come from idle agents, so fields with default values are omitted to save
+bandwidth. The reader of an answer has to reset an omitted field to its default.
 """
 
 __all__ = ["REPORT_DEFAULTS", "omit_defaults"]
@@ -18,11 +17,11 @@
     "cache_life_s": None,
     "demand": {},
 }
-"""What an answer that leaves a figure out says of it."""
+"""Values of the fields that a heartbeat answer may omit."""
 
 
 def omit_defaults(answer):
-    """Return an answer without the figures that say what their absence says.
+    """Return a heartbeat answer without the fields that have their default values.
 
     Examples:
         >>> omit_defaults({"state": "ready", "online": 0, "batch": 2})
--- a/pimentowick/membership/subset.py
+++ b/pimentowick/membership/subset.py
@@ -1,13 +1,13 @@
-"""Which agents of a service an entry talks to.
+"""Selection of the subset of agents that an entry uses.
 
-With every entry talking to every agent the heartbeats grow with the product of
-both. Each entry therefore takes a bounded number of agents of each service.
+If every entry used every agent, the number of heartbeats would grow with the product
+of their numbers. Each entry therefore uses a bounded number of agents per service.
 
 Notes:
-    Rendezvous ranking of pairs: each entry ranks the agents by a hash of both names,
-    so the choice needs no message, differs between entries and spreads the entries
-    evenly over the agents. An agent that goes is replaced by the next one in the
-    ranking, and nothing else changes.
+    Rendezvous hashing: each entry ranks the agents by a hash of both names. The choice
+    needs no communication, differs between entries and distributes them evenly over
+    the agents. When an agent is removed, it is replaced by the next one in the ranking,
+    and the rest of the subset stays the same.
 
 References:
     D. G. Thaler and C. V. Ravishankar, "Using name-based mappings to increase hit
@@ -20,25 +20,30 @@
 
 __all__ = ["compute_subset_size", "rank_agent", "select_subset"]
 
-NEAR_SHARE = 0.75
-ENTRIES_PER_AGENT = 10
-"""Least mean number of entries that talk to an agent.
+LOCAL_FRACTION = 0.75
+MIN_ENTRIES_PER_AGENT = 10
+"""Minimum mean number of entries per agent.
 
-The choices of the entries are independent, so an agent that ten entries choose on
-average is left without any, its target idle, with a probability of about 1 in 20,000.
+Entries choose independently. With a mean of ten entries per agent, the probability that
+no entry chooses a given agent, which leaves its target idle, is about 1 in 20,000.
 """
 
 
 def rank_agent(entry, agent):
-    """Return the weight of an agent in the ranking of an entry, both by name."""
+    """Return the rendezvous weight of an agent for an entry.
+
+    Args:
+        entry: Name of the entry.
+        agent: Name of the agent.
+    """
     return rendezvous.weigh(entry, agent)
 
 
-def compute_subset_size(setting, agents, entries):
-    """Return how many agents of a service each entry takes.
+def compute_subset_size(configured, agents, entries):
+    """Return the number of agents of a service that each entry uses.
 
     Args:
-        setting: What the settings ask for.
+        configured: Minimum number according to the settings.
         agents: Number of agents of the service.
         entries: Number of entries.
 
@@ -50,28 +55,28 @@
         >>> compute_subset_size(16, 5, 3)
         5
     """
-    needed = math.ceil(ENTRIES_PER_AGENT * agents / max(1, entries))
-    return min(agents, max(setting, needed))
+    needed = math.ceil(MIN_ENTRIES_PER_AGENT * agents / max(1, entries))
+    return min(agents, max(configured, needed))
 
 
 def select_subset(ranked, failure_domain, count):
-    """Return the agents that an entry talks to.
+    """Return the hosts of the agents that an entry uses.
 
-    Most are of the entry's own failure domain as long as there are any; the others
-    let it go on when the targets of its own failure domain are lost or full.
+    Most are in the entry's own failure domain if possible. The others keep the service
+    available when the targets of that failure domain are lost or fully loaded.
 
     Args:
         ranked: List of ``(rank, host)`` of one service, where `host` is a
             `pimentowick.external.hosts.Host`.
         failure_domain: Failure domain of the entry.
-        count: How many to take.
+        count: Number of agents to select.
     """
     ordered = [host for _, host in sorted(ranked, key=_get_rank)]
-    near = [host for host in ordered if host.failure_domain == failure_domain]
-    far = [host for host in ordered if host.failure_domain != failure_domain]
-    wanted_near = math.ceil(count * NEAR_SHARE)
-    head, rest = near[:wanted_near], near[wanted_near:]
-    return (head + far[: count - len(head)] + rest)[:count]
+    local = [host for host in ordered if host.failure_domain == failure_domain]
+    remote = [host for host in ordered if host.failure_domain != failure_domain]
+    local_count = math.ceil(count * LOCAL_FRACTION)
+    head, rest = local[:local_count], local[local_count:]
+    return (head + remote[: count - len(head)] + rest)[:count]
 
 
 def _get_rank(pair):
--- a/pimentowick/membership/tests/test_fleet.py
+++ b/pimentowick/membership/tests/test_fleet.py
@@ -29,7 +29,7 @@
 
 
 class Agents:
-    """Answers heartbeats in place of a client."""
+    """Fake client that answers heartbeats in place of agents."""
 
     def __init__(self):
         self.silent = set()
@@ -67,13 +67,13 @@
     async def run_check():
         listed, agents = Hosts(), Agents()
         entry = make_settings(**{"heartbeat_s": 0.02, **fields})
-        known = fleet.Fleet(listed, agents, entry, "entry-0#1", lambda: True)
-        await known.start()
+        tracked = fleet.Fleet(listed, agents, entry, "entry-0#1", lambda: True)
+        await tracked.start()
         try:
             async with asyncio.timeout(20):
-                await check(known, listed, agents)
+                await check(tracked, listed, agents)
         finally:
-            await known.close()
+            await tracked.close()
 
     asyncio.run(run_check())
 
@@ -83,109 +83,108 @@
         await asyncio.sleep(0.005)
 
 
-def count_peers(known):
-    names = [peer.service for peer in known.peers.values()]
+def count_peers(tracked):
+    names = [peer.service for peer in tracked.peers.values()]
     return {name: names.count(name) for name in SERVICES}
 
 
 def test_entry_talks_to_a_bounded_number_of_agents_of_each_service():
-    async def check(known, listed, agents):
-        await wait_for(lambda: count_peers(known) == {"lm": 3, "desk": 3})
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: count_peers(tracked) == {"lm": 3, "desk": 3})
         await wait_for(lambda: len({address for address, _ in agents.messages}) == 16)
-        assert count_peers(known) == {"lm": 3, "desk": 3}
+        assert count_peers(tracked) == {"lm": 3, "desk": 3}
 
     run(check, peers_per_service=3)
 
 
 def test_small_deployment_sees_all_agents():
-    async def check(known, listed, agents):
-        await wait_for(lambda: len(known.peers) == AGENTS)
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
 
     run(check)
 
 
 def test_lost_agent_is_replaced():
-    """Hosts of two agents are lost, and later fall off the host list.
+    """Guards against a permanently smaller subset after agents are lost.
 
-    Callers of this entry would be left with fewer targets for good, while others of
-    the same service stand idle.
+    The hosts of two peers are removed from the host list.
     """
 
-    async def check(known, listed, agents):
-        await wait_for(lambda: count_peers(known) == {"lm": 3, "desk": 3})
-        gone = [peer for peer in known.peers.values() if peer.service == "lm"][:2]
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: count_peers(tracked) == {"lm": 3, "desk": 3})
+        gone = [peer for peer in tracked.peers.values() if peer.service == "lm"][:2]
         agents.silent.update(peer.address for peer in gone)
         names = {peer.name for peer in gone}
         listed.listed = [host for host in listed.listed if host.name not in names]
-        await wait_for(lambda: not names & set(known.peers))
-        await wait_for(lambda: count_peers(known) == {"lm": 3, "desk": 3})
+        await wait_for(lambda: not names & set(tracked.peers))
+        await wait_for(lambda: count_peers(tracked) == {"lm": 3, "desk": 3})
 
     run(check, peers_per_service=3)
 
 
-def test_agent_that_is_silent_when_listed_is_found_later():
-    """The host list shows an agent before its process listens.
+def test_agent_silent_when_listed_is_discovered_later():
+    """Guards against probing an agent only once, before its process listens.
 
-    If its question were asked only once, its target would stay idle for good.
+    Its target would never receive requests.
     """
 
-    async def check(known, listed, agents):
+    async def check(tracked, listed, agents):
         late = "127.0.0.1:1003"
         agents.silent.add(late)
-        await wait_for(lambda: len(known.peers) == AGENTS - 1)
+        await wait_for(lambda: len(tracked.peers) == AGENTS - 1)
         agents.silent.clear()
-        await wait_for(lambda: len(known.peers) == AGENTS)
-        assert known.peers["agent-3"].service == "desk"
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
+        assert tracked.peers["agent-3"].service == "desk"
 
     run(check)
 
 
-def list_lm(known):
-    return [peer for peer in known.peers.values() if peer.service == "lm"]
+def list_lm(tracked):
+    return [peer for peer in tracked.peers.values() if peer.service == "lm"]
 
 
-def count_leases(known):
-    return sum(peer.lease == 7 for peer in list_lm(known))
+def count_leases(tracked):
+    return sum(peer.lease == 7 for peer in list_lm(tracked))
 
 
 def test_only_entries_with_batch_work_hold_leases():
-    """Only these, only of agents of the service, and no more than the work needs."""
+    """Guards against leases of other services, and more of them than needed."""
 
-    async def check(known, listed, agents):
-        await wait_for(lambda: len(known.peers) == AGENTS)
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
         assert not any("renew" in body for _, body in agents.messages)
-        lm = list_lm(known)
-        known.set_batch_services({"lm"})
-        await wait_for(lambda: count_leases(known) == fleet.LEASES_AT_FIRST)
-        known.set_batch_services({"lm"})
+        lm = list_lm(tracked)
+        tracked.set_batch_services({"lm"})
+        await wait_for(lambda: count_leases(tracked) == fleet.MIN_LEASES_PER_SERVICE)
+        tracked.set_batch_services({"lm"})
         await asyncio.sleep(0.2)
-        assert count_leases(known) == fleet.LEASES_AT_FIRST
+        assert count_leases(tracked) == fleet.MIN_LEASES_PER_SERVICE
 
         def has_all():
-            known.record_backlog("lm", 10_000)
+            tracked.record_backlog("lm", 10_000)
             return all(peer.lease == 7 for peer in lm)
 
         await wait_for(has_all)
-        others = [peer for peer in known.peers.values() if peer.service == "desk"]
+        others = [peer for peer in tracked.peers.values() if peer.service == "desk"]
         assert others
         assert not any(peer.lease for peer in others)
-        known.set_batch_services(())
+        tracked.set_batch_services(())
         await wait_for(lambda: not any(peer.lease for peer in lm))
 
     run(check, idle_heartbeat_s=0.05)
 
 
-def test_leases_that_are_not_needed_are_given_up(monkeypatch):
-    """Each lease costs heartbeats; one under which items run must not lapse."""
-    monkeypatch.setattr(fleet, "LEASES_UNUSED_S", 0.05)
+def test_surplus_leases_are_released(monkeypatch):
+    """Guards against heartbeats for unused leases, and expiry of leases in use."""
+    monkeypatch.setattr(fleet, "SURPLUS_LEASE_S", 0.05)
 
-    async def check(known, listed, agents):
-        await wait_for(lambda: len(known.peers) == AGENTS)
-        lm = list_lm(known)
-        known.set_batch_services({"lm"})
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
+        lm = list_lm(tracked)
+        tracked.set_batch_services({"lm"})
 
         def has_all():
-            known.record_backlog("lm", 10_000)
+            tracked.record_backlog("lm", 10_000)
             return all(peer.lease == 7 for peer in lm)
 
         await wait_for(has_all)
@@ -194,8 +193,8 @@
             peer.batch = 1
 
         def has_few():
-            known.set_batch_services({"lm"})
-            return count_leases(known) <= 3
+            tracked.set_batch_services({"lm"})
+            return count_leases(tracked) <= 3
 
         await wait_for(has_few)
         assert all(peer.lease == 7 for peer in busy)
@@ -203,31 +202,33 @@
     run(check, idle_heartbeat_s=0.05)
 
 
-def test_lease_is_renewed_well_before_it_lapses():
-    """A renewal that is lost has to be repeated within the same lease."""
+def test_lease_is_renewed_well_before_it_expires():
+    """Guards against renewing too late to retry a lost renewal before the expiry."""
     settings = make_settings(heartbeat_s=0.5, heartbeats_per_s=0.01)
-    known = fleet.Fleet(None, None, settings, "entry-0#1", None)
+    tracked = fleet.Fleet(None, None, settings, "entry-0#1", None)
     peer = membership_peer.Peer(None, {"lease_s": 8.0}, batch=1)
-    assert known._get_interval(peer) == 0.5
+    assert tracked._get_heartbeat_interval(peer) == 0.5
     peer.lease = 7
-    peer.heartbeat_interval_s = known._get_interval(peer)
-    # Rounded down to a turn, after the jitter.
+    peer.heartbeat_interval_s = tracked._get_heartbeat_interval(peer)
+    # The delay is rounded down to a heartbeat period after the jitter.
     least = (
         peer.heartbeat_interval_s * (1 - fleet.RENEWAL_JITTER) - settings.heartbeat_s
     )
     for _ in range(100):
-        assert least < known._get_pause(peer) <= 8.0 / fleet.RENEWALS_PER_LEASE
+        assert (
+            least < tracked._get_heartbeat_delay(peer) <= 8.0 / fleet.RENEWALS_PER_LEASE
+        )
 
 
-def test_lapsed_lease_is_asked_for_at_once():
-    """Until the next renewal, seconds away, the agent would stand idle."""
+def test_expired_lease_is_requested_immediately():
+    """Guards against waiting for the next renewal, which leaves the agent idle."""
 
-    async def check(known, listed, agents):
-        await wait_for(lambda: len(known.peers) == AGENTS)
-        known.set_batch_services({"lm"})
-        await wait_for(lambda: count_leases(known) == fleet.LEASES_AT_FIRST)
-        peer = next(peer for peer in list_lm(known) if peer.lease)
-        known.on_lease_expired(peer)
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
+        tracked.set_batch_services({"lm"})
+        await wait_for(lambda: count_leases(tracked) == fleet.MIN_LEASES_PER_SERVICE)
+        peer = next(peer for peer in list_lm(tracked) if peer.lease)
+        tracked.on_lease_expired(peer)
         assert not peer.lease
         async with asyncio.timeout(1):
             await wait_for(lambda: peer.lease == 7)
@@ -235,16 +236,16 @@
     run(check, heartbeat_s=3.0)
 
 
-def test_figure_that_an_answer_leaves_out_is_reset():
-    """The older one would make a target look busy for good."""
+def test_field_omitted_from_an_answer_is_reset():
+    """Guards against keeping an outdated load, which makes a target look busy."""
 
-    async def check(known, listed, agents):
-        await wait_for(lambda: len(known.peers) == AGENTS)
-        peer = known.peers["agent-0"]
+    async def check(tracked, listed, agents):
+        await wait_for(lambda: len(tracked.peers) == AGENTS)
+        peer = tracked.peers["agent-0"]
         full = {"online": 3, "demand": {"lm": 2}, "cache_life_s": 4.0}
-        known._take_report(peer, full, 0.0)
+        tracked._apply_report(peer, full, 0.0)
         assert peer.report["demand"] == {"lm": 2}
-        known._take_report(peer, {"state": "ready"}, 0.0)
+        tracked._apply_report(peer, {"state": "ready"}, 0.0)
         assert peer.report["online"] == 0
         assert peer.report["demand"] == {}
         assert peer.report["cache_life_s"] is None
@@ -253,9 +254,9 @@
 
 
 def test_idle_entry_learns_that_an_agent_drains():
-    """A target is about to leave while this entry has no work for it.
+    """Guards against routing to a draining agent after a period without requests.
 
-    Its next requests would be refused there first, which costs callers time.
+    The agent would refuse the requests first, which adds latency.
     """
 
     async def check():
@@ -264,10 +265,10 @@
             await deployment.start()
             agent = deployment.agents["agent-lm-0"]
             draining = asyncio.ensure_future(agent.drain())
-            known = deployment.entries["entry-0"].fleet
-            peer = known.peers["agent-lm-0"]
-            await deployment.wait_for(lambda: not known.is_usable(peer))
-            assert known.is_usable(known.peers["agent-lm-1"])
+            tracked = deployment.entries["entry-0"].fleet
+            peer = tracked.peers["agent-lm-0"]
+            await deployment.wait_for(lambda: not tracked.is_usable(peer))
+            assert tracked.is_usable(tracked.peers["agent-lm-1"])
             await draining
         finally:
             await deployment.close()
--- a/pimentowick/membership/tests/test_pool.py
+++ b/pimentowick/membership/tests/test_pool.py
@@ -11,7 +11,7 @@
     return membership_peer.Peer(host, {"online": index, "max_online": 100})
 
 
-def test_members_come_and_go_as_in_a_plain_set():
+def test_members_match_a_plain_set():
     rng = random.Random(7)
     peers = [make_peer(index) for index in range(30)]
     made, kept = pool.Pool(random.Random(3)), set()
@@ -31,7 +31,7 @@
         assert abs(made.mean_load * max(1, len(kept)) - sum(loads)) < 1e-6
 
 
-def test_the_ring_gives_everybody_a_share():
+def test_ring_distributes_keys_evenly():
     made = pool.Pool()
     for index in range(50):
         made.add(make_peer(index))
--- a/pimentowick/membership/tests/test_subset.py
+++ b/pimentowick/membership/tests/test_subset.py
@@ -43,11 +43,10 @@
 
 
 @pytest.mark.parametrize("gone", ["agent-3", "agent-100"])
-def test_lost_agent_moves_nothing_else(gone):
-    """A host is lost and falls off the host list.
+def test_lost_agent_changes_no_other_choice(gone):
+    """Guards against reselecting other agents when one host is lost.
 
-    If entries then chose their agents anew, connections, leases and prompt caches
-    of the whole fleet would be lost with one host, and callers would wait for them.
+    Connections, leases and prefix caches of the whole fleet would be lost with it.
     """
     rest = [host for host in AGENT_HOSTS if host.name != gone]
     for number in range(ENTRIES):
--- a/pimentowick/routing/__init__.py
+++ b/pimentowick/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing a target, retrying, limiting."""
+"""Load balancing, retries and concurrency limits of online requests."""
--- a/pimentowick/routing/affinity.py
+++ b/pimentowick/routing/affinity.py
@@ -1,9 +1,9 @@
-"""Choosing the target that has the prompt's prefix in its cache, within bounds.
+"""Load balancing with prefix cache affinity and bounded loads.
 
 Notes:
-    A target takes a prefix only while its load is below a bound that is a factor
-    over the mean: a popular prefix then spreads over as many targets as it needs,
-    and always over the same ones.
+    A target is chosen for its cache only while its load is below a bound, which is a
+    multiple of the mean load. A popular prefix thus spreads over as many targets as it
+    needs, in a stable order.
 
 References:
     V. Mirrokni, M. Thorup and M. Zadimoghaddam, "Consistent hashing with bounded
@@ -18,20 +18,23 @@
 __all__ = ["AffinityBalancer"]
 
 BOUND_FACTOR = 1.5
-LEAST_BOUND = 0.25
-HOMES = 4
-HOME_LEVEL = 5
-CACHE_LIFE_S = 300.0
+MIN_LOAD_BOUND = 0.25
+HOME_CANDIDATES = 4
+HOME_PREFIX_INDEX = 5
+DEFAULT_CACHE_LIFETIME_S = 300.0
 
 
 class AffinityBalancer(balance.Balancer):
-    """A recent holder of the longest prefix, its home, or else the emptier of two.
+    """Chooses a target that probably has the longest prefix of the prompt cached.
+
+    Without such a target it chooses one by consistent hashing of the prefix, and
+    otherwise leaves the choice to the fallback.
 
     Args:
         fallback: `pimentowick.routing.balance.TwoChoiceBalancer`.
         prefix_index: `pimentowick.routing.prefix.PrefixIndex`.
-        bound_factor: How far above the mean a target's load may be that is chosen
-            for its cache.
+        bound_factor: Load bound of targets chosen for their cache, as a multiple of
+            the mean load.
     """
 
     def __init__(self, fallback, prefix_index=None, bound_factor=BOUND_FACTOR):
@@ -44,18 +47,18 @@
         now = time.monotonic() if now is None else now
         if not prefix:
             return self._fallback.choose(pool, prefix, excluded, now)
-        bound = max(LEAST_BOUND, self._bound_factor * pool.mean_load)
+        bound = max(MIN_LOAD_BOUND, self._bound_factor * pool.mean_load)
 
-        def is_fit(peer):
-            # All entries send a prefix to the same target, and none sees before the
-            # next report what the others sent.
+        def is_acceptable(peer):
+            # All entries send a prefix to the same target, and see the requests of
+            # each other only in its next report.
             senders = peer.report.get("entries", 1)
             if peer.estimate_load(senders) >= bound:
                 return False
             return self._fallback.is_eligible(peer, pool, excluded, now)
 
-        chosen = self._find_holder(pool, prefix, is_fit, now)
-        chosen = chosen or self._find_home(pool, prefix, is_fit)
+        chosen = self._find_holder(pool, prefix, is_acceptable, now)
+        chosen = chosen or self._find_home(pool, prefix, is_acceptable)
         if chosen is None:
             chosen = self._fallback.choose(pool, prefix, excluded, now)
         else:
@@ -64,23 +67,29 @@
             self.prefix_index.insert(prefix, chosen.name, now)
         return chosen
 
-    def _find_holder(self, pool, prefix, is_fit, now):
-        for level in reversed(prefix):
-            found = []
-            for name, since in self.prefix_index.get_holders(level).items():
+    def _find_holder(self, pool, prefix, is_acceptable, now):
+        for prefix_hash in reversed(prefix):
+            candidates = []
+            for name, sent_at in self.prefix_index.get_holders(prefix_hash).items():
                 peer = pool.find(name)
-                if peer is not None and _still_holds(peer, since, now) and is_fit(peer):
-                    found.append(peer)
-            if found:
-                return min(found, key=self._fallback.get_cost)
+                if (
+                    peer is not None
+                    and _is_likely_cached(peer, sent_at, now)
+                    and is_acceptable(peer)
+                ):
+                    candidates.append(peer)
+            if candidates:
+                return min(candidates, key=self._fallback.get_cost)
         return None
 
-    def _find_home(self, pool, prefix, is_fit):
-        # Entries that know nothing of each other agree on the homes of a prefix.
-        key = prefix[min(HOME_LEVEL, len(prefix) - 1)].hex()
-        return next(filter(is_fit, pool.find_successors(key, HOMES)), None)
+    def _find_home(self, pool, prefix, is_acceptable):
+        # Consistent hashing makes all entries agree without communication.
+        key = prefix[min(HOME_PREFIX_INDEX, len(prefix) - 1)].hex()
+        return next(
+            filter(is_acceptable, pool.find_successors(key, HOME_CANDIDATES)), None
+        )
 
 
-def _still_holds(peer, since, now):
-    life_s = peer.report.get("cache_life_s") or CACHE_LIFE_S
-    return now - since < life_s
+def _is_likely_cached(peer, sent_at, now):
+    lifetime_s = peer.report.get("cache_life_s") or DEFAULT_CACHE_LIFETIME_S
+    return now - sent_at < lifetime_s
--- a/pimentowick/routing/attempt.py
+++ b/pimentowick/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one agent."""
+"""A single attempt of a request at one agent."""
 
 import orjson
 
@@ -14,7 +14,7 @@
 def make_envelope(
     request_id, attempt, entry, workspace, priority, deadline_s, **fields
 ):
-    """Return what an agent is told about a request; see `pimentowick.agent.work`."""
+    """Return the envelope of a request to an agent; see `pimentowick.agent.work`."""
     return {
         "request_id": request_id,
         "attempt": attempt,
@@ -27,21 +27,22 @@
 
 
 async def read_frames(client, peer, message, idle_s, fresh=False):
-    """Send `message` to the agent of `peer` and yield lists of its frames.
+    """Send `message` to the agent of `peer` and yield lists of response frames.
 
-    Frames that arrived together are yielded together. The last frame of the last
-    list is the end; an answer without one is never taken for whole.
+    Frames received together are yielded together. The last frame of the last list is
+    the end frame; a response without one is treated as truncated.
 
     Args:
-        client: `pimentowick.client.Client` of the request's class of traffic.
+        client: `pimentowick.client.Client` of the request's traffic class.
         peer: `pimentowick.membership.peer.Peer`.
-        message: Envelope and work.
-        idle_s: Longest silence, in seconds. Agents send keep-alive lines, so a
-            longer one means that the connection or the agent is dead.
+        message: Dictionary with the envelope and the request's payload.
+        idle_s: Maximum time without received data, in seconds. Agents send keep-alive
+            lines, so a longer silence means that the connection or the agent failed.
         fresh: Whether to use a new connection.
 
     Raises:
-        RefusedError: The attempt got no whole answer; the refusal has the verdict.
+        RefusedError: The response is missing or incomplete. The verdict of the refusal
+            says whether the request may have run.
     """
     envelope = message["envelope"]
     request_id, attempt = envelope["request_id"], envelope["attempt"]
@@ -61,35 +62,35 @@
             if not lines:
                 break
             if stream.status not in (None, 200):
-                raise exception.RefusedError(_read_rejection(peer, lines))
+                raise exception.RefusedError(_parse_rejection(peer, lines))
             frames, ended = _parse_frames(lines, request_id, attempt)
             if frames:
                 yield frames
     except http_client.TransportError as error:
-        raise exception.RefusedError(_explain_loss(peer, error)) from error
+        raise exception.RefusedError(_make_loss_refusal(peer, error)) from error
     finally:
         if not ended:
             stream.abort()
     if not ended:
-        raise exception.RefusedError(_refuse_broken(peer))
+        raise exception.RefusedError(_make_truncated_refusal(peer))
 
 
 def _parse_frames(lines, request_id, attempt):
-    """Return the frames of this attempt up to its end, and whether that is there."""
+    """Return the frames of this attempt, and whether they include the end frame."""
     frames = []
     for line in lines:
-        each = frame.parse_frame(line, request_id, attempt)
-        if each is None:
+        parsed = frame.parse_frame(line, request_id, attempt)
+        if parsed is None:
             continue
-        if "refusal" in each:
-            raise exception.RefusedError(verdict.Refusal.from_dict(each["refusal"]))
-        frames.append(each)
-        if each.get("end"):
+        if "refusal" in parsed:
+            raise exception.RefusedError(verdict.Refusal.from_dict(parsed["refusal"]))
+        frames.append(parsed)
+        if parsed.get("end"):
             return frames, True
     return frames, False
 
 
-def _refuse_broken(peer):
+def _make_truncated_refusal(peer):
     return verdict.Refusal(
         502,
         "agent_lost",
@@ -99,15 +100,15 @@
     )
 
 
-def _read_rejection(peer, lines):
-    """Return the refusal of an agent that did not take the message up at all."""
+def _parse_rejection(peer, lines):
+    """Return the refusal in an HTTP error response of an agent."""
     try:
         return verdict.Refusal.from_dict(orjson.loads(b"".join(lines)))
     except (ValueError, KeyError, TypeError):
-        return _refuse_broken(peer)
+        return _make_truncated_refusal(peer)
 
 
-def _explain_loss(peer, error):
+def _make_loss_refusal(peer, error):
     if error.expired:
         return verdict.make_expired(error.verdict)
     code = "agent_silent" if error.silent else "agent_lost"
--- a/pimentowick/routing/balance.py
+++ b/pimentowick/routing/balance.py
@@ -1,8 +1,9 @@
-"""Choosing the target of a request by load and failure domain.
+"""Load balancing by load and failure domain.
 
 Notes:
-    Two candidates are drawn and the emptier one is taken: load reports lag, and
-    whoever takes the least loaded one runs there together with everybody else.
+    The less loaded of randomly drawn candidates is chosen. Load reports lag, so always
+    choosing the least loaded target would send the requests of all entries to it at
+    once.
 
 References:
     M. Mitzenmacher, "The power of two choices in randomized load balancing", IEEE
@@ -16,57 +17,59 @@
 
 __all__ = ["Balancer", "TwoChoiceBalancer", "is_healthy"]
 
-CHOICES = 2
+MAX_CANDIDATES = 2
 REMOTE_PENALTY = 0.1
-PROBE_SHARE = 0.05
-"""Most of the choices that may fall on targets whose last request failed."""
+MAX_PROBE_FRACTION = 0.05
+"""Maximum fraction of choices that probe targets whose last request failed."""
 
 
 class Balancer(abc.ABC):
-    """Chooses one of the targets of a service."""
+    """Strategy that chooses one of the targets of a service."""
 
     @abc.abstractmethod
     def choose(self, pool, prefix=(), excluded=frozenset(), now=None):
-        """Return a `pimentowick.membership.peer.Peer`, or None if none may work.
+        """Return a `pimentowick.membership.peer.Peer`, or None if none is usable.
 
         Args:
             pool: `pimentowick.membership.pool.Pool` of the service.
             prefix: Hashes of the prompt's prefixes, the shortest first.
-            excluded: Names of peers that are taken only if there are no others.
-            now: Monotonic time, if the caller has it at hand.
+            excluded: Names of peers to choose only if there are no others.
+            now: Current monotonic time in seconds; None reads the clock.
         """
 
 
 class TwoChoiceBalancer(Balancer):
-    """The emptiest of two near candidates and two from anywhere.
+    """Chooses the least loaded of two local candidates and two from any domain.
 
-    A far one is taken once the near ones are fuller by more than the way to it
-    costs.
+    Local candidates are in the same failure domain as this entry. A remote candidate is
+    chosen only if its load is lower by more than a penalty.
 
     Args:
-        failure_domain: Failure domain of the chooser.
-        is_usable: Function of a peer and a monotonic time that says whether the
-            peer may get work.
-        remote_penalty: What the way to another failure domain costs, as a share of
-            a target's places.
+        failure_domain: Failure domain of this entry.
+        is_usable: Function of a peer and a monotonic time that returns whether the
+            peer may receive requests.
+        remote_penalty: Load added to candidates of other failure domains, as a fraction
+            of a target's slots.
     """
 
     def __init__(self, failure_domain, is_usable, remote_penalty=REMOTE_PENALTY):
         self._failure_domain = failure_domain
         self._is_usable = is_usable
         self._remote_penalty = remote_penalty
-        self._probes = retry.RetryBudget(PROBE_SHARE, initial_tokens=1.0)
+        self._probes = retry.RetryBudget(MAX_PROBE_FRACTION, initial_tokens=1.0)
 
     def choose(self, pool, prefix=(), excluded=frozenset(), now=None):
         """Return one of the members; see `Balancer.choose`."""
         now = time.monotonic() if now is None else now
-        near = pool.draw(self._failure_domain)
-        anywhere = pool.draw()
-        found = self._take_healthy(near, pool, excluded, now)
-        found += self._take_healthy(anywhere, pool, excluded, now)
-        if not found:
-            found = self._take_any(near + anywhere, pool, excluded, now)
-        chosen = min(found, key=self.get_cost, default=None)
+        local_peers = pool.draw(self._failure_domain)
+        sampled_peers = pool.draw()
+        candidates = self._select_healthy(local_peers, pool, excluded, now)
+        candidates += self._select_healthy(sampled_peers, pool, excluded, now)
+        if not candidates:
+            candidates = self._select_usable(
+                local_peers + sampled_peers, pool, excluded, now
+            )
+        chosen = min(candidates, key=self.get_cost, default=None)
         self.record_choice(chosen)
         return chosen
 
@@ -78,11 +81,19 @@
         return cost
 
     def is_eligible(self, peer, pool, excluded, now):
-        """Return whether `peer` is a candidate of the first choice."""
+        """Return whether `peer` is healthy, usable and not excluded.
+
+        Args:
+            peer: The `pimentowick.membership.peer.Peer`.
+            pool: `pimentowick.membership.pool.Pool` that it is a member of.
+            excluded: Names of excluded peers.
+            now: Current monotonic time in seconds.
+        """
         if peer.name in excluded or not is_healthy(peer, now):
             return False
-        # A target that fails at once looks empty and would draw everybody. Its
-        # probes are rationed, unless so many fail that the others need relief.
+        # A target that fails requests immediately appears idle and would attract most
+        # of the traffic. Probes are therefore limited, unless so many targets fail
+        # that the remaining ones would be overloaded.
         if (
             peer.failures
             and not self._probes.has_token()
@@ -92,22 +103,22 @@
         return self._is_usable(peer, now)
 
     def record_choice(self, peer):
-        """Count a choice towards the share of probes."""
+        """Update the probe budget with the chosen peer, or None."""
         self._probes.record_request()
         if peer is not None and peer.failures:
             self._probes.take()
 
-    def _take_healthy(self, drawn, pool, excluded, now):
-        found = []
+    def _select_healthy(self, drawn, pool, excluded, now):
+        candidates = []
         for peer in drawn:
             if self.is_eligible(peer, pool, excluded, now):
-                found.append(peer)
-                if len(found) == CHOICES:
+                candidates.append(peer)
+                if len(candidates) == MAX_CANDIDATES:
                     break
-        return found
+        return candidates
 
-    def _take_any(self, drawn, pool, excluded, now):
-        """Return usable peers although they fail, are excluded or were not drawn."""
+    def _select_usable(self, drawn, pool, excluded, now):
+        """Return usable peers, including failing, excluded or undrawn ones."""
         usable = [peer for peer in drawn if self._is_usable(peer, now)]
         if not usable:
             usable = [peer for peer in pool.members if self._is_usable(peer, now)]
@@ -115,10 +126,10 @@
 
 
 def is_healthy(peer, now):
-    """Return whether nothing speaks against sending `peer` one more request.
+    """Return whether `peer` is not ejected and may receive another request.
 
-    After its ejection a peer gets one request at a time until one ends well: if it
-    still fails, the others would fail with that one.
+    After its ejection a peer receives one request at a time until one succeeds, so
+    that a peer that still fails affects a single request.
     """
     if peer.ejected_until > now:
         return False
--- a/pimentowick/routing/limits.py
+++ b/pimentowick/routing/limits.py
@@ -1,4 +1,4 @@
-"""How many online requests run at once, in all and for each workspace."""
+"""Limits on concurrent online requests, in total and per workspace."""
 
 import collections
 import contextlib
@@ -11,10 +11,13 @@
 
 
 class ConcurrencyLimits:
-    """Counts the requests in flight and refuses those over a limit.
+    """Counts requests in flight and refuses those that exceed a limit.
 
     Args:
-        max_online: Most requests at once, of all workspaces.
+        max_online: Maximum number of concurrent requests of all workspaces.
+
+    Attributes:
+        running: Number of requests in flight.
     """
 
     def __init__(self, max_online):
@@ -25,32 +28,37 @@
 
     @contextlib.contextmanager
     def acquire_call(self, workspace, service):
-        """Count a call of `workspace` to a service while the context lasts.
+        """Return a context manager that counts a call of `workspace` to a service.
 
         Args:
             workspace: `pimentowick.configuration.workspace.Workspace`.
             service: Name of one of its services.
 
         Raises:
-            RefusedError: One more would be over a limit.
+            RefusedError: The call would exceed a limit.
         """
         key = (workspace.name, service)
         limit = workspace.services[service].max_concurrent
         if limit is not None and self._by_service[key] >= limit:
-            raise _refuse("too_many_calls", "This service has too many calls at once.")
+            raise _make_limit_error(
+                "too_many_calls", "This service has too many calls at once."
+            )
         self._by_service[key] += 1
         try:
             with self.acquire(workspace):
                 yield
         finally:
-            _count_down(self._by_service, key)
+            _decrement(self._by_service, key)
 
     @contextlib.contextmanager
     def acquire(self, workspace):
-        """Count a request of `workspace` while the context lasts.
+        """Return a context manager that counts a request of `workspace`.
+
+        Args:
+            workspace: `pimentowick.configuration.workspace.Workspace`.
 
         Raises:
-            RefusedError: One more would be over a limit.
+            RefusedError: The request would exceed a limit.
 
         Examples:
             >>> from pimentowick.configuration import workspace
@@ -61,25 +69,29 @@
         """
         name = workspace.name
         if self._by_workspace[name] >= workspace.max_online_concurrent:
-            raise _refuse("too_many_requests", "This workspace has too many at once.")
+            raise _make_limit_error(
+                "too_many_requests", "This workspace has too many at once."
+            )
         if self.running >= self.max_online:
-            raise _refuse("entry_full", "This entry has too many requests at once.")
+            raise _make_limit_error(
+                "entry_full", "This entry has too many requests at once."
+            )
         self.running += 1
         self._by_workspace[name] += 1
         try:
             yield
         finally:
             self.running -= 1
-            _count_down(self._by_workspace, name)
+            _decrement(self._by_workspace, name)
 
 
-def _count_down(counter, key):
+def _decrement(counter, key):
     counter[key] -= 1
     if not counter[key]:
         del counter[key]
 
 
-def _refuse(code, message):
+def _make_limit_error(code, message):
     return exception.RefusedError(
         verdict.Refusal(
             429, code, f"{message} Try again later.", retry_after=RETRY_AFTER_S
--- a/pimentowick/routing/prefix.py
+++ b/pimentowick/routing/prefix.py
@@ -1,9 +1,10 @@
-"""Which targets an entry sent a prompt's prefixes to.
+"""Index of the targets to which an entry sent the prefixes of prompts.
 
-An engine tells late and with gaps what its cache holds. What this entry sent a
-moment ago it knows for certain and at once, and a target that ran a prompt has its
-prefixes in the cache. So the own choices are the hint, and from the events comes
-just one figure in each heartbeat: how long a block stays in that cache.
+An engine's cache events are delayed and incomplete. An entry knows its own routing
+decisions immediately and exactly, and a target that has run a prompt has the prompt's
+prefixes cached. The index is therefore built from the entry's own decisions. The cache
+events contribute only the estimated lifetime of cached blocks, which is part of each
+heartbeat answer.
 """
 
 import collections
@@ -26,8 +27,8 @@
     6144,
     8192,
 )
-"""Lengths of the prefixes that are told apart, in characters."""
-MAX_ENTRIES = 20_000
+"""Lengths of the hashed prefixes, in characters."""
+MAX_PREFIXES = 20_000
 MAX_HOLDERS = 4
 DIGEST_BYTES = 8
 
@@ -36,8 +37,8 @@
     """Return the hashes of a prompt's prefixes, the shortest first.
 
     Args:
-        prompt: The prompt.
-        seed: What else the cache depends on: model and adapter.
+        prompt: Text of the prompt.
+        seed: Further cache key, such as the names of the model and the adapter.
 
     Examples:
         >>> short, long = hash_prefixes("a" * 130), hash_prefixes("a" * 300)
@@ -59,43 +60,43 @@
 
 
 class PrefixIndex:
-    """The newest holders of each prefix, as far as this entry knows.
+    """LRU index of the targets to which each prefix was most recently sent.
 
     Args:
-        max_entries: Most prefixes that are kept; the least recently used go first.
+        max_prefixes: Maximum number of prefixes; the least recently used are evicted.
 
     Examples:
-        >>> memory = PrefixIndex()
-        >>> memory.insert(hash_prefixes("a" * 200), "t1", 5.0)
-        >>> memory.get_holders(hash_prefixes("a" * 130)[0])
+        >>> index = PrefixIndex()
+        >>> index.insert(hash_prefixes("a" * 200), "t1", 5.0)
+        >>> index.get_holders(hash_prefixes("a" * 130)[0])
         {'t1': 5.0}
     """
 
-    def __init__(self, max_entries=MAX_ENTRIES):
-        self._max_entries = max_entries
+    def __init__(self, max_prefixes=MAX_PREFIXES):
+        self._max_prefixes = max_prefixes
         self._holders = collections.OrderedDict()
 
     def __len__(self):
         return len(self._holders)
 
-    def get_holders(self, level):
-        """Return when each holder of a prefix last got it, by name."""
-        return self._holders.get(level, {})
+    def get_holders(self, prefix_hash):
+        """Return the time at which a prefix was last sent to each target, by name."""
+        return self._holders.get(prefix_hash, {})
 
-    def insert(self, levels, name, now):
-        """Take notice that the target `name` gets these prefixes.
+    def insert(self, hashes, name, now):
+        """Record that the prefixes of a prompt are sent to the target `name`.
 
         Args:
-            levels: Hashes from `hash_prefixes`.
+            hashes: Hashes from `hash_prefixes`.
             name: Name of the target's agent.
-            now: Monotonic time.
+            now: Current monotonic time, in seconds.
         """
-        for level in levels:
-            holders = self._holders.setdefault(level, {})
+        for prefix_hash in hashes:
+            holders = self._holders.setdefault(prefix_hash, {})
             holders.pop(name, None)
             holders[name] = now
             if len(holders) > MAX_HOLDERS:
                 del holders[next(iter(holders))]
-            self._holders.move_to_end(level)
-        while len(self._holders) > self._max_entries:
+            self._holders.move_to_end(prefix_hash)
+        while len(self._holders) > self._max_prefixes:
             self._holders.popitem(last=False)
--- a/pimentowick/routing/retry.py
+++ b/pimentowick/routing/retry.py
@@ -1,4 +1,4 @@
-"""When a request is tried again."""
+"""Retry policy of requests."""
 
 import time
 
@@ -6,26 +6,26 @@
 
 __all__ = ["RetryBudget", "is_retryable"]
 
-FIRST_TOKENS = 10.0
+INITIAL_TOKENS = 10.0
 MAX_TOKENS = 50.0
 
 
 class RetryBudget:
-    """Allows retries as a share of recent requests, and a few a second besides.
+    """Token bucket that limits retries to a fraction of the requests.
 
-    Retries of everybody would multiply the load in the very outage that causes
-    them; a budget bounds that to a share of the traffic. A share alone leaves a process
-    with few requests nothing for a second loss soon after the first.
+    Unlimited retries would multiply the load during the outage that causes them. A
+    minimum rate in addition lets a process with few requests retry after failures in
+    quick succession.
 
     Args:
-        share: Retries allowed for each request.
+        share: Retries allowed per request.
         initial_tokens: Retries allowed at the start.
-        min_per_s: Retries allowed a second, however few requests there are.
-        clock: Function that returns the monotonic time, in seconds.
+        min_per_s: Retries allowed per second regardless of the number of requests.
+        clock: Function that returns monotonic seconds.
 
     References:
         M. Eriksen, "Your server as a function", PLOS 2013 (Finagle, whose retry budget
-        has a share and a least rate).
+        has a fraction and a minimum rate).
 
     Examples:
         >>> budget = RetryBudget(0.1, initial_tokens=0.0)
@@ -36,11 +36,11 @@
     """
 
     def __init__(
-        self, share, initial_tokens=FIRST_TOKENS, min_per_s=0.0, clock=time.monotonic
+        self, share, initial_tokens=INITIAL_TOKENS, min_per_s=0.0, clock=time.monotonic
     ):
         self._share = share
         self._tokens = initial_tokens
-        self._least_per_s = min_per_s
+        self._min_per_s = min_per_s
         self._clock = clock
         self._refilled_at = clock()
 
@@ -51,17 +51,17 @@
     def has_token(self):
         """Return whether a retry is allowed."""
         self._refill()
-        # Ten tenths add up to a little less than one.
+        # Tolerates rounding errors of accumulated fractions.
         return self._tokens >= 1.0 - 1e-9
 
     def _refill(self):
         now = self._clock()
-        gained = (now - self._refilled_at) * self._least_per_s
+        gained = (now - self._refilled_at) * self._min_per_s
         self._tokens = min(self._tokens + gained, MAX_TOKENS)
         self._refilled_at = now
 
     def take(self):
-        """Return whether a retry is allowed, and count it."""
+        """Consume a token if there is one, and return whether a retry is allowed."""
         if not self.has_token():
             return False
         self._tokens -= 1.0
@@ -69,7 +69,11 @@
 
 
 def is_retryable(refusal, idempotent):
-    """Return whether another attempt may follow a refused one.
+    """Return whether a refused attempt may be retried.
+
+    Args:
+        refusal: `pimentowick.verdict.Refusal` of the attempt.
+        idempotent: Whether the request may run twice.
 
     Examples:
         >>> lost = verdict.Refusal(502, "lost", "Lost.", verdict.Verdict.MAY_HAVE_RUN)
--- a/pimentowick/routing/router.py
+++ b/pimentowick/routing/router.py
@@ -1,4 +1,4 @@
-"""Takes an online request to a target, and to another one where that is right."""
+"""Routing of online requests to targets, with retries at other targets."""
 
 import asyncio
 import contextlib
@@ -13,32 +13,32 @@
 
 __all__ = ["Request", "Router", "make_generate_request"]
 
-ONLINE = "online"
-RETRY_PAUSE_S = 0.02
-# An entry with few requests may lose those of a dozen connections at once.
-LEAST_RETRIES_PER_S = 10.0
+ONLINE_PRIORITY = "online"
+RETRY_BACKOFF_S = 0.02
+# Covers the requests lost with several connections at once on an entry with low load.
+MIN_RETRIES_PER_S = 10.0
 NO_TARGET_RETRY_AFTER_S = 1.0
-# Codes of refusals that blame the agent or its target, not the request or the load.
-LOST_CODES = frozenset(["agent_lost", "agent_silent", "target_lost", "internal"])
+# Refusal codes that indicate a fault of the agent or its target.
+AGENT_FAULT_CODES = frozenset(["agent_lost", "agent_silent", "target_lost", "internal"])
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One online request on its way.
+    """State of an online request while it is being routed.
 
     Attributes:
         id: Id of the request.
         workspace: `pimentowick.configuration.workspace.Workspace`.
         service: Name of the model or service.
         kind: ``engine`` or ``service``.
-        idempotent: Whether it may run twice.
-        deadline: Monotonic time by which the answer has to be whole.
-        cost: Expected tokens.
+        idempotent: Whether the request may run twice.
+        deadline: Monotonic time by which the response has to be complete, in seconds.
+        cost: Expected number of tokens.
+        payload: Message to the agent without its envelope.
         prefix: Hashes of the prompt's prefixes, the shortest first.
-        payload: The part of the message that says what to do.
-        verdicts: Verdicts of the attempts that failed.
-        excluded: Names of the peers that failed.
-        attempts: Number of attempts begun.
+        verdicts: Verdicts of the failed attempts.
+        excluded: Names of the peers that refused the request or failed.
+        attempts: Number of attempts started.
     """
 
     id: str
@@ -56,7 +56,7 @@
 
 
 class Router:
-    """Chooses targets, keeps to deadlines and budgets, and retries.
+    """Sends requests to targets within deadlines, and retries within a budget.
 
     Args:
         fleet: `pimentowick.membership.fleet.Fleet`.
@@ -75,88 +75,91 @@
         self._owner = owner
         self._metrics = metrics
         self._budget = retry.RetryBudget(
-            settings.retry_share, min_per_s=LEAST_RETRIES_PER_S
+            settings.retry_share, min_per_s=MIN_RETRIES_PER_S
         )
 
     async def generate(self, request):
-        """Yield `Tokens` and at last one `End` for a generation.
+        """Yield `Tokens` and a final `End` for a generation.
 
-        An answer that broke off in the middle goes on at another target, from the
-        tokens that the caller has.
+        An interrupted generation is resumed at another target after the tokens that
+        were already yielded.
 
         Raises:
-            RefusedError: The request got no whole answer.
+            RefusedError: All attempts failed, or the deadline expired.
         """
         produced = 0
-        # Closed here and not by the garbage collector: until then the target would
-        # go on for a caller that has left.
-        async with contextlib.aclosing(self._try_all(request)) as answer:
+        # Closed explicitly, since the target would otherwise keep generating for a
+        # disconnected caller until garbage collection.
+        async with contextlib.aclosing(self._send_with_retries(request)) as answer:
             async for frames in answer:
-                for each in frames:
-                    if "texts" in each and each["index"] == produced:
-                        produced += len(each["texts"])
+                for frame in frames:
+                    if "texts" in frame and frame["index"] == produced:
+                        produced += len(frame["texts"])
                         request.payload["generate"]["resume_tokens"] = produced
-                        yield external_engine.Tokens(each["index"], each["texts"])
-                    elif each.get("end"):
-                        yield external_engine.End(each["finish_reason"], each["tokens"])
+                        yield external_engine.Tokens(frame["index"], frame["texts"])
+                    elif frame.get("end"):
+                        yield external_engine.End(
+                            frame["finish_reason"], frame["tokens"]
+                        )
 
     async def call(self, request):
-        """Return the frame with the answer of a plain service.
+        """Return the frame with the response of a service that is not an engine.
 
         Raises:
-            RefusedError: The call got no whole answer.
+            RefusedError: All attempts failed, or the deadline expired.
         """
         end = None
-        # Read to its end, since only then the success of the peer is noted.
-        async with contextlib.aclosing(self._try_all(request)) as answer:
+        # Read to the end, since the peer's success is recorded only then.
+        async with contextlib.aclosing(self._send_with_retries(request)) as answer:
             async for frames in answer:
                 end = frames[-1]
         return end
 
-    async def _try_all(self, request):
+    async def _send_with_retries(self, request):
         self._budget.record_request()
         while True:
             self._check_deadline(request)
-            peer = self._choose(request)
+            peer = self._choose_peer(request)
             try:
-                async with contextlib.aclosing(self._try_one(request, peer)) as answer:
+                async with contextlib.aclosing(
+                    self._send_once(request, peer)
+                ) as answer:
                     async for frames in answer:
                         yield frames
                 return
             except exception.RefusedError as error:
-                self._note_refusal(request, peer, error.refusal)
+                self._record_refusal(request, peer, error.refusal)
                 if not self._may_retry(request, error.refusal):
                     raise exception.RefusedError(
-                        _conclude(request, error.refusal)
+                        _merge_verdicts(request, error.refusal)
                     ) from error
                 self._metrics.count_retry(error.refusal.code)
-            await asyncio.sleep(RETRY_PAUSE_S * request.attempts)
+            await asyncio.sleep(RETRY_BACKOFF_S * request.attempts)
 
-    async def _try_one(self, request, peer):
+    async def _send_once(self, request, peer):
         request.attempts += 1
         envelope = routing_attempt.make_envelope(
             request.id,
             request.attempts,
             self._owner,
             request.workspace.name,
-            ONLINE,
+            ONLINE_PRIORITY,
             request.deadline - time.monotonic(),
             weight=request.workspace.weight,
             cost=request.cost,
         )
         peer.online += 1
         try:
-            frames_of_peer = routing_attempt.read_frames(
+            frame_stream = routing_attempt.read_frames(
                 self._client,
                 peer,
                 {"envelope": envelope, **request.payload},
                 self._settings.idle_s,
-                # A call that can't be repeated must not be lost to a pooled
-                # connection that died unnoticed; after a failure, neither may any
-                # request.
+                # A pooled connection may be stale. Requests that cannot be retried,
+                # and retries themselves, use a new one.
                 fresh=request.attempts > 1 or not request.idempotent,
             )
-            async with contextlib.aclosing(frames_of_peer) as answer:
+            async with contextlib.aclosing(frame_stream) as answer:
                 async for frames in answer:
                     yield frames
         finally:
@@ -165,16 +168,16 @@
 
     def _check_deadline(self, request):
         if time.monotonic() >= request.deadline:
-            found = verdict.combine(request.verdicts)
-            raise exception.RefusedError(verdict.make_expired(found))
+            combined = verdict.combine(request.verdicts)
+            raise exception.RefusedError(verdict.make_expired(combined))
 
-    def _choose(self, request):
+    def _choose_peer(self, request):
         pool = self._fleet.get_pool(request.service, request.kind)
         peer = self._balancer.choose(pool, request.prefix, request.excluded)
         if peer is not None:
             return peer
         raise exception.RefusedError(
-            _conclude(
+            _merge_verdicts(
                 request,
                 verdict.Refusal(
                     503,
@@ -185,10 +188,10 @@
             )
         )
 
-    def _note_refusal(self, request, peer, refusal):
+    def _record_refusal(self, request, peer, refusal):
         request.verdicts.append(refusal.verdict)
         request.excluded.add(peer.name)
-        if refusal.code in LOST_CODES:
+        if refusal.code in AGENT_FAULT_CODES:
             self._fleet.record_failure(peer)
         elif refusal.code == "draining":
             self._fleet.record_draining(peer)
@@ -196,19 +199,19 @@
     def _may_retry(self, request, refusal):
         if request.attempts >= self._settings.max_attempts:
             return False
-        if time.monotonic() + RETRY_PAUSE_S >= request.deadline:
+        if time.monotonic() + RETRY_BACKOFF_S >= request.deadline:
             return False
         if not retry.is_retryable(refusal, request.idempotent):
             return False
-        # An agent that drains refuses by its own word and ran nothing: sending its
-        # requests elsewhere adds no load, so it costs no budget.
+        # A draining agent has not run the request, so sending it elsewhere adds no load
+        # and is not charged to the retry budget.
         return refusal.code == "draining" or self._budget.take()
 
 
-def _conclude(request, refusal):
-    """Return the last refusal with the verdict on all attempts."""
-    found = verdict.combine([*request.verdicts, refusal.verdict])
-    return dataclasses.replace(refusal, verdict=found)
+def _merge_verdicts(request, refusal):
+    """Return `refusal` with the combined verdict of all attempts."""
+    combined = verdict.combine([*request.verdicts, refusal.verdict])
+    return dataclasses.replace(refusal, verdict=combined)
 
 
 def make_generate_request(request_id, workspace, generation, deadline_s):
@@ -216,9 +219,9 @@
 
     Args:
         request_id: Id of the request.
-        workspace: The caller's workspace.
+        workspace: `pimentowick.configuration.workspace.Workspace` of the caller.
         generation: Dictionary with model, adapter, prompt and max_tokens.
-        deadline_s: Seconds until the answer has to be whole.
+        deadline_s: Seconds until the response has to be complete.
     """
     return Request(
         id=request_id,
@@ -234,6 +237,6 @@
 
 
 def _hash_prefix(generation):
-    # The cache of one model or adapter is of no use to another.
+    # Cached prefixes are specific to a model and an adapter.
     seed = f"{generation['model']}/{generation.get('adapter') or ''}"
     return routing_prefix.hash_prefixes(generation["prompt"], seed)
--- a/pimentowick/routing/tests/conftest.py
+++ b/pimentowick/routing/tests/conftest.py
@@ -6,12 +6,12 @@
 from pimentowick.membership import peer as membership_peer
 from pimentowick.membership import pool
 
-PLACES = 32
+SLOTS = 32
 
 
 def make_peer(name, failure_domain="here", online=0):
     host = hosts.Host(name, "agent", "127.0.0.1:1", failure_domain)
-    report = {"online": online, "max_online": PLACES, "state": "ready"}
+    report = {"online": online, "max_online": SLOTS, "state": "ready"}
     return membership_peer.Peer(host, report)
 
 
--- a/pimentowick/routing/tests/test_lifetime.py
+++ b/pimentowick/routing/tests/test_lifetime.py
@@ -5,7 +5,7 @@
 
 
 def replay(drop, lag=0.0):
-    """Each block is stored at its number and evicted thirty seconds later."""
+    """Replay events of blocks stored once a second and evicted 30 s later."""
     rng = random.Random(5)
     estimate = lifetime.CacheLifetimeEstimator()
     sequence = 0
@@ -21,17 +21,21 @@
     return estimate
 
 
-def test_late_and_lost_events_do_not_move_the_estimate():
-    """The engine tells its events late and leaves some out. A lifetime that came
-    out too long would send users to a cache that forgot their prompt."""
+def test_late_and_lost_events_do_not_bias_the_estimate():
+    """Guards against a biased lifetime estimate from delayed or lost events.
+
+    An overestimate would route requests to caches that have evicted their prefix.
+    """
     for drop in (0.0, 0.3, 0.7):
         for lag in (0.0, 20.0):
             assert replay(drop, lag).estimate() == 30.0
 
 
-def test_an_engine_that_was_started_again_is_noticed():
-    """The engine dies and comes back with an empty cache and numbers from 0. If it
-    went unnoticed, all its new events would pass for old ones."""
+def test_engine_restart_is_detected():
+    """Guards against discarding the events of a restarted engine as duplicates.
+
+    A restarted engine has an empty cache and numbers its events from 0.
+    """
     estimate = replay(0.0)
     assert estimate.resume_sequence > 100
     estimate.record_events([], 3, 500.0)
@@ -41,7 +45,7 @@
     assert estimate.estimate() == 2.0
 
 
-def test_an_event_that_is_read_twice_counts_once():
+def test_event_read_twice_counts_once():
     estimate = lifetime.CacheLifetimeEstimator()
     stored = engine.CacheEvent(0, "stored", "b")
     estimate.record_events([stored], 1, 1.0)
--- a/pimentowick/routing/tests/test_limits.py
+++ b/pimentowick/routing/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what runs at once."""
+"""Tests of the limits on concurrent requests."""
 
 import pytest
 
@@ -8,19 +8,16 @@
 
 
 def test_calls_to_a_service_are_bounded_for_each_workspace():
-    """One workspace calls a service that it may call once at a time, twice.
-
-    Without the bound its calls would fill the service for everybody.
-    """
+    """Guards against one workspace occupying a service with concurrent calls."""
     uses = {"desk": workspace.ServiceUse(max_concurrent=1)}
     first, second = (workspace.Workspace(n, 1, services=uses) for n in ("a", "b"))
-    counted = limits.ConcurrencyLimits(max_online=10)
-    with counted.acquire_call(first, "desk"):
+    concurrency = limits.ConcurrencyLimits(max_online=10)
+    with concurrency.acquire_call(first, "desk"):
         with pytest.raises(exception.RefusedError) as caught:
-            with counted.acquire_call(first, "desk"):
+            with concurrency.acquire_call(first, "desk"):
                 raise AssertionError("taken")
         assert caught.value.refusal.code == "too_many_calls"
-        with counted.acquire_call(second, "desk"):
-            assert counted.running == 2
-    with counted.acquire_call(first, "desk"):
-        assert counted.running == 1
+        with concurrency.acquire_call(second, "desk"):
+            assert concurrency.running == 2
+    with concurrency.acquire_call(first, "desk"):
+        assert concurrency.running == 1
--- a/pimentowick/routing/tests/test_retry.py
+++ b/pimentowick/routing/tests/test_retry.py
@@ -1,37 +1,37 @@
 from pimentowick.routing import retry
 
 
-def lose(budget, count):
-    """Return how many of some lost requests may be tried again."""
+def count_allowed_retries(budget, count):
+    """Return how many of `count` lost requests may be retried."""
     for _ in range(count):
         budget.record_request()
     return sum(budget.take() for _ in range(count))
 
 
-def test_losses_some_time_apart_are_all_tried_again():
-    # Twelve requests are on connections that fall silent, and two seconds later twelve
-    # more. An entry with few requests has no share of them to make up for that.
+def test_failures_seconds_apart_are_all_retried():
+    # Guards against failing requests when connections are lost twice within seconds.
+    # The fraction alone yields too few tokens on an entry with low load.
     now = [0.0]
     budget = retry.RetryBudget(0.1, min_per_s=10.0, clock=lambda: now[0])
-    assert lose(budget, 11) == 11
+    assert count_allowed_retries(budget, 11) == 11
     now[0] = 2.0
-    assert lose(budget, 12) == 12
+    assert count_allowed_retries(budget, 12) == 12
 
 
-def test_outage_that_lasts_gets_no_more_than_the_share_and_the_least():
+def test_retries_in_a_long_outage_stay_within_the_budget():
     now = [0.0]
     budget = retry.RetryBudget(0.1, min_per_s=10.0, clock=lambda: now[0])
     taken = 0
     for _ in range(100):
         now[0] += 0.1
-        taken += lose(budget, 50)
-    # Ten seconds, 5,000 requests, and what was there at the begin.
-    assert taken <= 10 * 10 + 500 + retry.FIRST_TOKENS + 1
+        taken += count_allowed_retries(budget, 50)
+    # Tokens of ten seconds and 5,000 requests, and the initial ones.
+    assert taken <= 10 * 10 + 500 + retry.INITIAL_TOKENS + 1
     assert taken >= 0.9 * (10 * 10 + 500)
 
 
-def test_budget_does_not_grow_without_end_while_nothing_is_lost():
+def test_budget_is_bounded_while_nothing_fails():
     now = [0.0]
     budget = retry.RetryBudget(0.1, min_per_s=10.0, clock=lambda: now[0])
     now[0] = 3600.0
-    assert lose(budget, 200) <= retry.MAX_TOKENS + 20
+    assert count_allowed_retries(budget, 200) <= retry.MAX_TOKENS + 20
--- a/pimentowick/scheduling/__init__.py
+++ b/pimentowick/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""What an agent admits to its target, and in which order."""
+"""Admission control, fair queueing and adaptive batch limits."""
--- a/pimentowick/scheduling/aimd.py
+++ b/pimentowick/scheduling/aimd.py
@@ -1,6 +1,6 @@
-"""A limit that grows by one at a time and halves when steps become too long.
+"""Batch limit with additive increase and multiplicative decrease (AIMD).
 
-Only benchmarks use it, to compare `pimentowick.scheduling.model` with.
+Used only by benchmarks, as a baseline for `pimentowick.scheduling.model`.
 
 References:
     D.-M. Chiu and R. Jain, "Analysis of the increase and decrease algorithms for
@@ -12,12 +12,12 @@
 
 __all__ = ["AIMDLimiter"]
 
-DECREASE = 0.5
-STEPS_PER_CHANGE = 10
+DECREASE_FACTOR = 0.5
+STEPS_PER_UPDATE = 10
 
 
 class AIMDLimiter(limiter.AdaptiveLimiter):
-    """Additive increase, multiplicative decrease on the time of a step.
+    """Adapts the limit by AIMD on the mean step duration.
 
     Examples:
         >>> from pimentowick.scheduling import step
@@ -38,18 +38,18 @@
         self._count = 0
 
     def observe_step(self, step):
-        """Take notice of a step; see `BatchLimiter.observe_step`."""
+        """Update the limit with a step; see `BatchLimiter.observe_step`."""
         if not step.online:
             return
-        self._note_base(step)
+        self._update_base(step)
         self._total_ms += step.duration_ms
         self._count += 1
-        if self._count < STEPS_PER_CHANGE:
+        if self._count < STEPS_PER_UPDATE:
             return
         mean_ms = self._total_ms / self._count
         self._total_ms = 0.0
         self._count = 0
-        if mean_ms > (1 + self._harm) * self._base_ms:
-            self._limit *= DECREASE
+        if mean_ms > (1 + self._max_slowdown) * self._base_ms:
+            self._limit *= DECREASE_FACTOR
         else:
             self._limit = min(self._limit + 1, self._max_batch)
--- a/pimentowick/scheduling/fairness.py
+++ b/pimentowick/scheduling/fairness.py
@@ -1,11 +1,11 @@
-"""A queue that is fair between workspaces, counted in tokens.
+"""Fair queueing between workspaces, weighted by tokens.
 
 Notes:
-    Start-time fair queueing: each request gets a start tag, the larger of the
-    queue's virtual time and the finish tag of its workspace's previous request, and
-    a finish tag, which lies its cost divided by its weight further. The request with
-    the least start tag goes first. A workspace that floods the queue pushes only its
-    own tags ahead.
+    Start-time fair queueing: the start tag of a request is the maximum of the queue's
+    virtual time and the finish tag of the previous request of the same workspace. Its
+    finish tag is the start tag plus the request's cost divided by the workspace's
+    weight. Requests are served in order of their start tags. A workspace that sends
+    many requests advances only its own tags.
 
 References:
     P. Goyal, H. M. Vin and H. Cheng, "Start-time fair queueing: a scheduling
@@ -21,7 +21,7 @@
 
 
 class StartTags:
-    """Start tags of workspaces that share something.
+    """Assigns start tags to the requests of workspaces that share a resource.
 
     Examples:
         >>> tags = StartTags()
@@ -38,33 +38,36 @@
 
     @property
     def virtual_time(self):
-        """The tag of whatever was served last."""
+        """Largest start tag of the requests served so far."""
         return self._virtual
 
     def assign(self, workspace, cost, weight=1.0):
-        """Return the start tag of a request, the least of which goes first.
+        """Return the start tag of a request; the lowest tag is served first.
 
         Args:
-            workspace: Name of the workspace that it belongs to.
-            cost: What it is expected to take.
-            weight: Share of the workspace.
+            workspace: Name of the request's workspace.
+            cost: Expected cost of the request.
+            weight: Fair-share weight of the workspace.
         """
         start = max(self._virtual, self._finish.get(workspace, 0.0))
         self._finish[workspace] = start + cost / weight
         return start
 
     def record_served(self, tag):
-        """Note that a request with a tag had its turn."""
+        """Advance the virtual time to the start tag of a request that was served."""
         self._virtual = max(self._virtual, tag)
 
     def forget(self):
-        """Forget all: nobody waits, and tags of the past would punish who comes."""
+        """Discard all tags; call when the queue is empty.
+
+        Old finish tags would otherwise delay the next requests of their workspaces.
+        """
         self._finish.clear()
         self._virtual = 0.0
 
 
 class FairQueue:
-    """Holds entries of several workspaces and returns them in a fair order.
+    """Queue of requests of several workspaces, served in fair order.
 
     Examples:
         >>> queue = FairQueue()
@@ -86,23 +89,23 @@
         return len(self._workspaces)
 
     def count_waiting(self, workspace):
-        """Return how many entries of a workspace wait."""
+        """Return the number of queued requests of a workspace."""
         return self._waiting[workspace]
 
     def count_workspaces(self):
-        """Return how many workspaces have entries that wait."""
+        """Return the number of workspaces with queued requests."""
         return len(self._waiting)
 
     def push(self, workspace, request, cost, weight=1.0, charged=False):
-        """Add an entry.
+        """Add a request.
 
         Args:
-            workspace: Name of the workspace that it belongs to.
-            request: Anything hashable.
-            cost: Expected tokens.
-            weight: Share of the workspace.
-            charged: Whether its cost was counted before. An entry that had its turn and
-                was sent back goes first, and its workspace pays only once.
+            workspace: Name of the request's workspace.
+            request: Hashable object.
+            cost: Expected number of tokens.
+            weight: Fair-share weight of the workspace.
+            charged: Whether the cost was charged already. A preempted request is queued
+                again at the current virtual time without a second charge.
         """
         if charged:
             self._push(self._tags.virtual_time, workspace, request)
@@ -115,7 +118,7 @@
         self._waiting[workspace] += 1
 
     def peek(self):
-        """Return the next entry and leave it in the queue.
+        """Return the next request without removing it.
 
         Raises:
             IndexError: The queue is empty.
@@ -125,7 +128,7 @@
         return self._heap[0][2]
 
     def pop(self):
-        """Remove and return the next entry.
+        """Remove and return the next request.
 
         Raises:
             IndexError: The queue is empty.
@@ -137,14 +140,14 @@
         return request
 
     def remove(self, request):
-        """Drop an entry that waits."""
+        """Remove a queued request."""
         workspace = self._workspaces.pop(request)
         self._waiting[workspace] -= 1
         if not self._waiting[workspace]:
             del self._waiting[workspace]
         if not self._workspaces:
-            self._forget()
+            self._reset()
 
-    def _forget(self):
+    def _reset(self):
         self._heap.clear()
         self._tags.forget()
--- a/pimentowick/scheduling/gradient.py
+++ b/pimentowick/scheduling/gradient.py
@@ -1,11 +1,11 @@
-"""A limit that follows the ratio of the shortest to the present step time.
+"""Batch limit that follows the ratio of the shortest to the current step duration.
 
-Only benchmarks use it, to compare `pimentowick.scheduling.model` with.
+Used only by benchmarks, as a baseline for `pimentowick.scheduling.model`.
 
 Notes:
-    The shortest step stands for an engine without batch. The ratio falls below one
-    as steps grow; the limit is multiplied by it, and the square root of the limit is
-    added so that it keeps probing.
+    The shortest step is taken as the duration without batch items. The ratio falls
+    below one as steps become longer. The limit is multiplied by the ratio, and its
+    square root is added so that the limit keeps probing for capacity.
 
 References:
     L. S. Brakmo and L. L. Peterson, "TCP Vegas: end to end congestion avoidance on
@@ -19,11 +19,11 @@
 __all__ = ["GradientLimiter"]
 
 SMOOTHING = 0.05
-LEAST_RATIO = 0.5
+MIN_RATIO = 0.5
 
 
 class GradientLimiter(limiter.AdaptiveLimiter):
-    """Follows the delay that batch adds.
+    """Adapts the limit to the delay that batch items add to a step.
 
     Examples:
         >>> from pimentowick.scheduling import step
@@ -40,18 +40,18 @@
 
     def __init__(self, max_batch, max_slowdown):
         super().__init__(max_batch, max_slowdown)
-        self._recent_ms = None
+        self._smoothed_ms = None
         self._limit = min(1.0, max_batch)
 
     def observe_step(self, step):
-        """Take notice of a step; see `BatchLimiter.observe_step`."""
+        """Update the limit with a step; see `BatchLimiter.observe_step`."""
         if not step.online:
             return
-        self._note_base(step)
-        if self._recent_ms is None:
-            self._recent_ms = step.duration_ms
-        self._recent_ms += SMOOTHING * (step.duration_ms - self._recent_ms)
-        ratio = (1 + self._harm) * self._base_ms / self._recent_ms
-        ratio = min(1.0, max(LEAST_RATIO, ratio))
-        aim = min(self._max_batch, self._limit * ratio + math.sqrt(self._limit))
-        self._limit += SMOOTHING * (aim - self._limit)
+        self._update_base(step)
+        if self._smoothed_ms is None:
+            self._smoothed_ms = step.duration_ms
+        self._smoothed_ms += SMOOTHING * (step.duration_ms - self._smoothed_ms)
+        ratio = (1 + self._max_slowdown) * self._base_ms / self._smoothed_ms
+        ratio = min(1.0, max(MIN_RATIO, ratio))
+        desired = min(self._max_batch, self._limit * ratio + math.sqrt(self._limit))
+        self._limit += SMOOTHING * (desired - self._limit)
--- a/pimentowick/scheduling/idle.py
+++ b/pimentowick/scheduling/idle.py
@@ -1,23 +1,24 @@
-"""Whether the engine will be without online requests for long enough to fill it.
+"""Prediction of idle periods long enough to fill the engine with batch items.
 
 Notes:
-    Beside steady traffic the engine is without online requests for moments only. A
-    batch that fills it then makes the next online request wait for a long step, and
-    is preempted before it has done much. After some short pauses the next one is
-    therefore taken to be short, too, until it has lasted.
+    Under steady traffic, periods without online requests are brief. Filling the engine
+    with batch items in such a period delays the next online request by a long step,
+    and the items are preempted before they make progress. If recent idle periods were
+    short, the current one is therefore considered short until it has lasted for
+    `MIN_IDLE_S`.
 """
 
 import time
 
 __all__ = ["IdlePredictor"]
 
-SHORT_S = 0.3
-LINGER_S = 0.25
+SHORT_PAUSE_S = 0.3
+MIN_IDLE_S = 0.25
 SMOOTHING = 0.2
 
 
 class IdlePredictor:
-    """Follows how long the pauses between online requests last.
+    """Predicts idle periods from the mean duration of the previous ones.
 
     Args:
         clock: Function that returns monotonic seconds.
@@ -40,28 +41,32 @@
 
     def __init__(self, clock=time.monotonic):
         self._clock = clock
-        self._since = clock()
-        self._usual_s = 2 * SHORT_S
+        self._idle_since = clock()
+        self._mean_pause_s = 2 * SHORT_PAUSE_S
 
     def update_online(self, online):
-        """Take notice of how many online requests there are.
+        """Update the number of online requests.
 
         Returns:
-            Seconds after which to ask again, or 0 if that is not needed.
+            Seconds after which to call `expects_idle` again, or 0 if not needed.
         """
-        if online == 0 and self._since is None:
-            self._since = self._clock()
-            return LINGER_S if self._usual_s < SHORT_S else 0.0
-        if online and self._since is not None:
-            lasted_s = self._clock() - self._since
-            self._usual_s += SMOOTHING * (lasted_s - self._usual_s)
-            self._since = None
+        if online == 0 and self._idle_since is None:
+            self._idle_since = self._clock()
+            return MIN_IDLE_S if self._mean_pause_s < SHORT_PAUSE_S else 0.0
+        if online and self._idle_since is not None:
+            pause_s = self._clock() - self._idle_since
+            self._mean_pause_s += SMOOTHING * (pause_s - self._mean_pause_s)
+            self._idle_since = None
         return 0.0
 
     def expects_idle(self, online):
-        """Return whether there is no online request and none is expected soon."""
-        if online or self._since is None:
+        """Return whether the engine is without online requests for long enough.
+
+        Args:
+            online: Number of running and queued online requests.
+        """
+        if online or self._idle_since is None:
             return False
-        if self._usual_s >= SHORT_S:
+        if self._mean_pause_s >= SHORT_PAUSE_S:
             return True
-        return self._clock() - self._since >= LINGER_S
+        return self._clock() - self._idle_since >= MIN_IDLE_S
--- a/pimentowick/scheduling/lease.py
+++ b/pimentowick/scheduling/lease.py
@@ -1,9 +1,10 @@
-"""Leases that let an entry dispatch batch items to an agent.
+"""Leases that permit an entry to dispatch batch items to an agent.
 
-A lease is counted by the agent's clock alone and renewed by heartbeats. An entry
-that was frozen, or cut off, holds a lapsed lease when it comes back: what it sends
-is refused before it reaches the engine, and what it left running was cancelled.
-That bounds how long a stale owner can start items of a job that was cancelled.
+Leases are timed by the agent's clock alone and renewed by heartbeats. When an entry
+resumes after a process pause or a network partition, its lease has expired: the agent
+refuses its new items before they reach the engine, and has cancelled those that were
+running. This bounds the time during which a stale owner can start items of a cancelled
+job.
 """
 
 import dataclasses
@@ -19,10 +20,10 @@
 
 
 class LeaseTable:
-    """The leases that one agent granted.
+    """Leases granted by one agent.
 
     Args:
-        duration_s: How long a lease holds without a heartbeat, in seconds.
+        duration_s: Validity of a lease without renewal, in seconds.
         clock: Function that returns monotonic seconds.
 
     Examples:
@@ -42,42 +43,42 @@
         self.duration_s = duration_s
         self._clock = clock
         self._leases = {}
-        # Numbers of an earlier process of this agent must not be valid again.
-        self._next_number = time.time_ns() // 1_000_000
+        # Ids granted by an earlier process of this agent must not become valid again.
+        self._next_id = time.time_ns() // 1_000_000
 
     def renew(self, entry, lease_id):
-        """Extend the lease `lease_id` of `entry`, or grant a new one.
+        """Renew the lease `lease_id` of `entry`, or grant a new one.
 
         Returns:
-            The number of the lease that now holds; another than `lease_id` if that
-            one had lapsed.
+            The id of the valid lease; it differs from `lease_id` if that lease had
+            expired.
         """
         now = self._clock()
         lease = self._leases.get(entry)
         if lease is None or lease.lease_id != lease_id or lease.expires_at <= now:
-            self._next_number += 1
-            lease = _Lease(self._next_number, now)
+            self._next_id += 1
+            lease = _Lease(self._next_id, now)
             self._leases[entry] = lease
         lease.expires_at = now + self.duration_s
         return lease.lease_id
 
     def is_valid(self, entry, lease_id):
-        """Return whether `entry` holds the lease `lease_id` now."""
+        """Return whether `entry` holds the unexpired lease `lease_id`."""
         lease = self._leases.get(entry)
         if lease is None or lease.lease_id != lease_id:
             return False
         return self._clock() < lease.expires_at
 
     def pop_expired(self):
-        """Forget the lapsed leases and return their holders."""
+        """Remove the expired leases and return the names of their holders."""
         now = self._clock()
-        lapsed = [
+        expired = [
             name for name, lease in self._leases.items() if lease.expires_at <= now
         ]
-        for name in lapsed:
+        for name in expired:
             del self._leases[name]
-        return lapsed
+        return expired
 
     def count(self):
-        """Return the number of holders."""
+        """Return the number of entries that hold a lease."""
         return len(self._leases)
--- a/pimentowick/scheduling/least_squares.py
+++ b/pimentowick/scheduling/least_squares.py
@@ -1,9 +1,10 @@
-"""Least squares that learn from one sample at a time.
+"""Recursive least squares with exponential forgetting.
 
 Notes:
-    Each new sample moves the weights by a gain that the inverse covariance of the
-    inputs gives; older samples fade by a constant factor. An engine that changes its
-    speed is so followed, and no samples are kept.
+    Each sample corrects the weights by the prediction error times a gain, which is
+    computed from the inverse covariance matrix of the inputs. The influence of older
+    samples decays exponentially, so the fit follows changes of the engine's speed. No
+    samples are stored.
 
 References:
     S. Haykin, "Adaptive Filter Theory", chapter on recursive least squares,
@@ -16,17 +17,17 @@
 
 
 class RecursiveLeastSquares:
-    """Fits a linear function without an intercept of its own.
+    """Fits a linear function without an implicit intercept.
 
     Args:
-        weights: First guess.
-        variances: How far each weight of the guess may be off, squared.
-        forgetting_factor: Factor by which the weight of older samples falls with each
-            new one.
+        weights: Initial weights.
+        variances: Variance of each initial weight.
+        forgetting_factor: Factor by which the influence of older samples decays with
+            each new sample.
 
     Attributes:
-        weights: The fit so far.
-        count: Number of samples taken.
+        weights: Current weights.
+        count: Number of samples processed.
 
     Examples:
         >>> fit = RecursiveLeastSquares([0.0, 0.0], [1e4, 1e4])
@@ -39,7 +40,7 @@
     def __init__(self, weights, variances, forgetting_factor=0.999):
         self.weights = list(weights)
         self.count = 0
-        self._memory = forgetting_factor
+        self._forgetting_factor = forgetting_factor
         size = len(self.weights)
         self._covariance = [
             [variances[i] if i == j else 0.0 for j in range(size)] for i in range(size)
@@ -50,24 +51,25 @@
         return _multiply(self.weights, inputs)
 
     def add(self, inputs, value):
-        """Take a sample: `value` was seen at `inputs`."""
+        """Update the fit with a sample: `value` was observed at `inputs`."""
         self.count += 1
         projected = [_multiply(row, inputs) for row in self._covariance]
-        scale = self._memory + _multiply(projected, inputs)
+        scale = self._forgetting_factor + _multiply(projected, inputs)
         gain = [each / scale for each in projected]
         error = value - self.predict(inputs)
         self.weights = [
             weight + each * error
             for weight, each in zip(self.weights, gain, strict=True)
         ]
-        self._shrink(gain, projected)
+        self._update_covariance(gain, projected)
 
-    def _shrink(self, gain, projected):
+    def _update_covariance(self, gain, projected):
         size = len(gain)
-        # Inputs that stay constant teach nothing about some direction; its variance
-        # would grow without bound and one odd sample would then throw the fit far.
-        grow = max(self._covariance[i][i] for i in range(size)) < MAX_VARIANCE
-        forgetting_factor = self._memory if grow else 1.0
+        # Without sufficient excitation (constant inputs), the variance of some
+        # directions would grow without bound, and a single outlier could then distort
+        # the fit (covariance wind-up).
+        may_grow = max(self._covariance[i][i] for i in range(size)) < MAX_VARIANCE
+        forgetting_factor = self._forgetting_factor if may_grow else 1.0
         for i in range(size):
             for j in range(size):
                 left = self._covariance[i][j] - gain[i] * projected[j]
--- a/pimentowick/scheduling/limiter.py
+++ b/pimentowick/scheduling/limiter.py
@@ -1,49 +1,61 @@
-"""How many batch items may run at an engine beside online requests.
+"""Limits on the number of batch items that run next to online requests.
 
-Agents use `pimentowick.scheduling.model.ModelLimiter`. The limiters here, and those of
-`aimd` and `gradient`, are what ``python -m benchmarks policy`` compares it with.
+Agents use `pimentowick.scheduling.model.ModelLimiter`. The limiters in this module and
+those of `aimd` and `gradient` are baselines for ``python -m benchmarks policy``.
 """
 
 import abc
 
 __all__ = ["AdaptiveLimiter", "BatchLimiter", "FixedLimiter", "YieldingLimiter"]
 
-BASE_CREEP = 1.0001
+BASE_GROWTH_PER_STEP = 1.0001
 
 
 class BatchLimiter(abc.ABC):
-    """Decides how many batch items may run now, and when one may begin."""
+    """Limits the number of running batch items and decides when one may start."""
 
     @abc.abstractmethod
     def get_limit(self, online):
-        """Return the limit while `online` requests run or wait."""
+        """Return the maximum number of running batch items.
+
+        Args:
+            online: Number of running and queued online requests.
+        """
 
     def can_start(self, prompt_chars, prefilling, online, batch):
-        """Return whether one more item may begin within the limit.
+        """Return whether one more item, within the limit, may start now.
 
         Args:
-            prompt_chars: Characters of its prompt that the engine has to read.
-            prefilling: Those of the items that began and have no token yet.
-            online: Online requests that run or wait.
-            batch: Batch items that run.
+            prompt_chars: Number of characters of its prompt to prefill.
+            prefilling: Number of prompt characters of the items that have started but
+                not produced a token yet.
+            online: Number of running and queued online requests.
+            batch: Number of running batch items.
         """
         return True
 
     def update_online(self, online):
-        """Take notice that `online` requests run or wait now.
+        """Update the number of online requests.
+
+        Args:
+            online: Number of running and queued online requests.
 
         Returns:
-            Seconds after which the limit may differ with nothing having happened;
-            0 if it won't.
+            Seconds after which the limit may change without a further event, or 0 if
+            it doesn't.
         """
         return 0.0
 
     def observe_step(self, step):  # noqa: B027 - most limiters need none
-        """Take notice of a `pimentowick.scheduling.step.Step`."""
+        """Process a `pimentowick.scheduling.step.Step`; does nothing by default."""
 
 
 class FixedLimiter(BatchLimiter):
-    """The same limit at all times."""
+    """Constant limit.
+
+    Args:
+        limit: Maximum number of running batch items.
+    """
 
     def __init__(self, limit):
         self._limit = limit
@@ -54,11 +66,11 @@
 
 
 class YieldingLimiter(BatchLimiter):
-    """All slots while nobody is online, a share of them otherwise.
+    """Full limit without online requests, a fixed fraction of it otherwise.
 
     Args:
         limit: Limit while no online request runs.
-        share: Part of the limit that stays beside online requests.
+        share: Fraction of the limit that remains while online requests run.
 
     Examples:
         >>> limiter = YieldingLimiter(32, 0.25)
@@ -78,16 +90,16 @@
 
 
 class AdaptiveLimiter(BatchLimiter):
-    """All slots while nobody is online, a limit that subclasses adapt otherwise.
+    """Full limit without online requests, one adapted by subclasses otherwise.
 
     Args:
         max_batch: Limit while no online request runs.
-        max_slowdown: Part by which a step may be longer than the shortest one.
+        max_slowdown: Fraction by which a step may be longer than the shortest one.
     """
 
     def __init__(self, max_batch, max_slowdown):
         self._max_batch = max_batch
-        self._harm = max_slowdown
+        self._max_slowdown = max_slowdown
         self._base_ms = None
         self._limit = 0.0
 
@@ -95,7 +107,7 @@
         """Return the limit; see `BatchLimiter.get_limit`."""
         return self._max_batch if online == 0 else int(self._limit)
 
-    def _note_base(self, step):
+    def _update_base(self, step):
         base_ms = self._base_ms or step.duration_ms
-        # The engine may become slower for good: the shortest step is let go slowly.
-        self._base_ms = min(base_ms * BASE_CREEP, step.duration_ms)
+        # The minimum grows slowly, so that it adapts to an engine that becomes slower.
+        self._base_ms = min(base_ms * BASE_GROWTH_PER_STEP, step.duration_ms)
--- a/pimentowick/scheduling/step.py
+++ b/pimentowick/scheduling/step.py
@@ -1,8 +1,9 @@
-"""The steps of an engine, as the streams that pass through the agent show them.
+"""Engine steps, inferred from the token streams that pass through the agent.
 
-An engine that batches continuously gives each running stream one token a step. The
-agent sees the tokens of all streams, so it knows when each step ended, how many
-streams took part and whose prompts it read, long before a load report would say so.
+An engine with continuous batching generates one token per step for each running
+stream. The agent sees the tokens of all streams, so it can tell when each step ended,
+which streams were running and which prompts were prefilled, without waiting for a
+load report.
 """
 
 import dataclasses
@@ -16,11 +17,11 @@
     """One step of the engine.
 
     Attributes:
-        duration_ms: Milliseconds from the end of the step before.
-        online: Online streams that took part.
-        batch: Batch streams that took part.
-        online_prompt_chars: Characters of the online prompts that it read.
-        batch_prompt_chars: Characters of the batch prompts that it read.
+        duration_ms: Milliseconds since the end of the previous step.
+        online: Number of online streams that received a token.
+        batch: Number of batch streams that received a token.
+        online_prompt_chars: Characters of online prompts prefilled in the step.
+        batch_prompt_chars: Characters of batch prompts prefilled in the step.
     """
 
     duration_ms: float
@@ -31,15 +32,15 @@
 
     @property
     def running(self):
-        """Streams that took part."""
+        """Number of streams that received a token."""
         return self.online + self.batch
 
 
 class StepTracker:
-    """Tells the steps from the tokens of the streams.
+    """Groups the tokens of all streams into steps.
 
     Args:
-        on_step: Function that is called with each `Step`.
+        on_step: Callback that receives each `Step`.
         clock: Function that returns monotonic seconds.
 
     Examples:
@@ -54,47 +55,48 @@
     """
 
     def __init__(self, on_step, clock=time.monotonic):
-        self._take_step = on_step
+        self._on_step = on_step
         self._clock = clock
-        self._seen = {}
-        self._live = set()
-        self._began_at = None
+        self._streams = {}
+        self._active = set()
+        self._started_at = None
         self._ended_at = None
 
     def observe_token(self, stream, is_batch, prompt_chars=0):
-        """Take notice of a stream's token.
+        """Record a token of a stream.
 
         Args:
-            stream: Anything hashable that tells the streams apart.
-            is_batch: Whether it is a batch stream.
-            prompt_chars: Length of its prompt if this is its first token.
+            stream: Hashable object that identifies the stream.
+            is_batch: Whether the stream belongs to a batch item.
+            prompt_chars: Number of prompt characters prefilled if this is the stream's
+                first token, else 0.
         """
-        if stream in self._seen or not self._live:
-            self._turn(is_continued=stream in self._seen)
-        self._seen[stream] = (is_batch, prompt_chars)
-        self._live.add(stream)
+        if stream in self._streams or not self._active:
+            self._close_step(is_continued=stream in self._streams)
+        self._streams[stream] = (is_batch, prompt_chars)
+        self._active.add(stream)
 
     def observe_end(self, stream):
-        """Take notice that a stream has ended or was preempted."""
-        self._live.discard(stream)
+        """Record that a stream has ended or was preempted."""
+        self._active.discard(stream)
 
-    def _turn(self, is_continued):
-        """Close the step whose tokens were gathered, and begin the next."""
+    def _close_step(self, is_continued):
+        """Report the step whose tokens were collected, and begin the next one."""
         now = self._clock()
-        if self._began_at is not None and self._seen:
-            self._take_step(self._make_step())
-        # With no stream in both steps the engine may have been idle in between: the
-        # time that passed is no step's, and a limiter would take it for a slow one.
-        self._began_at = self._ended_at if is_continued else None
+        if self._started_at is not None and self._streams:
+            self._on_step(self._make_step())
+        # If no stream spans both steps, the engine may have been idle in between, and
+        # the elapsed time must not be reported as the duration of a step.
+        self._started_at = self._ended_at if is_continued else None
         self._ended_at = now
-        self._seen.clear()
+        self._streams.clear()
 
     def _make_step(self):
-        seen = self._seen.values()
+        streams = self._streams.values()
         return Step(
-            duration_ms=(self._ended_at - self._began_at) * 1e3,
-            online=sum(not is_batch for is_batch, _ in seen),
-            batch=sum(is_batch for is_batch, _ in seen),
-            online_prompt_chars=sum(n for is_batch, n in seen if not is_batch),
-            batch_prompt_chars=sum(n for is_batch, n in seen if is_batch),
+            duration_ms=(self._ended_at - self._started_at) * 1e3,
+            online=sum(not is_batch for is_batch, _ in streams),
+            batch=sum(is_batch for is_batch, _ in streams),
+            online_prompt_chars=sum(n for is_batch, n in streams if not is_batch),
+            batch_prompt_chars=sum(n for is_batch, n in streams if is_batch),
         )
--- a/pimentowick/scheduling/tests/test_admission.py
+++ b/pimentowick/scheduling/tests/test_admission.py
@@ -14,7 +14,7 @@
 
 
 class WatchingEngine(simulation.SimulatedEngine):
-    """Notes whether an online stream waits while a batch stream runs."""
+    """Records whether an online stream was queued while a batch stream was running."""
 
     online_waited = False
 
@@ -27,11 +27,11 @@
         return duration_s
 
 
-def make_admission(chosen, max_batch=8, **fields):
+def make_admission(batch_limiter, max_batch=8, **fields):
     clock = asyncio.get_running_loop().time
     fields = {"max_online": 64, "max_queue": 256, "max_running": 64, **fields}
     return admission.Admission(
-        limiter=chosen, max_batch=max_batch, clock=clock, **fields
+        limiter=batch_limiter, max_batch=max_batch, clock=clock, **fields
     )
 
 
@@ -49,24 +49,24 @@
     return agent_work.GenerateWork(envelope, generation)
 
 
-async def collect(work, engine, scheme):
+async def collect(work, engine, controller):
     indices = []
-    async for line in work.run(engine, scheme):
+    async for line in work.run(engine, controller):
         frame = orjson.loads(line)
         if "texts" in frame:
             indices += range(frame["index"], frame["index"] + len(frame["texts"]))
     return indices
 
 
-async def run_burst(engine, scheme, items=8, online=4):
-    """Run items, send online requests amid them, and return all indices."""
+async def run_burst(engine, controller, items=8, online=4):
+    """Run items, send online requests meanwhile, and return all token indices."""
     await engine.start()
     names = [f"batch/{n}" for n in range(items)]
-    works = [collect(make_work(name), engine, scheme) for name in names]
+    works = [collect(make_work(name), engine, controller) for name in names]
     tasks = [asyncio.ensure_future(each) for each in works]
     await asyncio.sleep(0.3)
     burst = [
-        collect(make_work(f"online/{n}", 10), engine, scheme) for n in range(online)
+        collect(make_work(f"online/{n}", 10), engine, controller) for n in range(online)
     ]
     answers = await asyncio.gather(*burst)
     results = await asyncio.gather(*tasks)
@@ -75,110 +75,108 @@
 
 
 async def check_burst(engine, resumes):
-    scheme = make_admission(limiter.YieldingLimiter(8, 0.25))
-    answers, results = await run_burst(engine, scheme)
+    controller = make_admission(limiter.YieldingLimiter(8, 0.25))
+    answers, results = await run_burst(engine, controller)
     assert answers == [list(range(10))] * 4
     assert results == [list(range(TOKENS))] * 8
-    assert scheme.preemptions == 6
+    assert controller.preemptions == 6
     assert engine.resumes == resumes
-    assert scheme.count_batch_items() == scheme.count_online() == 0
+    assert controller.count_batch_items() == controller.count_online() == 0
 
 
 def test_burst_loses_no_token():
-    """Online requests arrive together while batch items fill the engine.
+    """Guards against lost or duplicated tokens of preempted items.
 
-    The youngest items give way and go on later; each must come out whole, with no
-    token twice, or a customer reads a garbled answer.
+    A burst of online requests arrives while batch items fill the engine; the most
+    recently started items are preempted and resumed later.
     """
     simulation.run(check_burst(simulation.SimulatedEngine(), resumes=6))
 
 
-def test_refused_resume_starts_again():
-    """An engine that has dropped its cache refuses to resume a preempted item.
+def test_refused_resumption_restarts_the_item():
+    """Guards against failing an item that the engine refuses to resume.
 
-    Taken for a bad prompt the item would fail for good. It runs again from its
-    beginning, and the entry gets no token that it has already.
+    An engine without the item's cache refuses the resumption. The item is restarted
+    from its beginning, and tokens already sent to the entry are not sent again.
     """
     engine = simulation.SimulatedEngine(can_resume=False)
     simulation.run(check_burst(engine, resumes=0))
 
 
-def test_youngest_are_preempted():
+def test_last_started_items_are_preempted():
     async def check():
-        scheme = make_admission(limiter.YieldingLimiter(8, 0.25), max_batch=8)
+        controller = make_admission(limiter.YieldingLimiter(8, 0.25), max_batch=8)
         tickets = [admission.Ticket(workspace="w") for _ in range(8)]
         for ticket in tickets:
-            await scheme.admit_batch(ticket)
-        await scheme.admit_online(admission.Ticket(workspace="w"), 1.0)
-        chosen = [ticket.preempted.is_set() for ticket in tickets]
-        assert chosen == [False] * 2 + [True] * 6
+            await controller.admit_batch(ticket)
+        await controller.admit_online(admission.Ticket(workspace="w"), 1.0)
+        is_preempted = [ticket.preempted.is_set() for ticket in tickets]
+        assert is_preempted == [False] * 2 + [True] * 6
 
     simulation.run(check())
 
 
 def test_cancelled_while_preempted():
-    """A job is cancelled while one of its items waits to go on after a burst.
+    """Guards against leaking the slot of an item cancelled while it is preempted.
 
-    Were its place kept, the agent would hold room for an item that never comes, and
-    after some cancelled jobs run no batch at all.
+    After enough cancelled jobs, leaked slots would leave none for batch items.
     """
 
     async def check():
         engine = simulation.SimulatedEngine()
         await engine.start()
-        scheme = make_admission(limiter.YieldingLimiter(8, 0.0))
-        item = asyncio.ensure_future(collect(make_work("batch/0"), engine, scheme))
+        controller = make_admission(limiter.YieldingLimiter(8, 0.0))
+        item = asyncio.ensure_future(collect(make_work("batch/0"), engine, controller))
         await asyncio.sleep(0.3)
-        online = collect(make_work("online/0", 20), engine, scheme)
+        online = collect(make_work("online/0", 20), engine, controller)
         online = asyncio.ensure_future(online)
         await asyncio.sleep(0.1)
-        assert scheme.preemptions == 1 and scheme.count_batch_items() == 1
+        assert controller.preemptions == 1 and controller.count_batch_items() == 1
         item.cancel()
         await asyncio.gather(item, return_exceptions=True)
-        assert scheme.count_batch_items() == 0
+        assert controller.count_batch_items() == 0
         await online
-        again = await collect(make_work("batch/1"), engine, scheme)
+        again = await collect(make_work("batch/1"), engine, controller)
         assert again == list(range(TOKENS))
         await engine.close()
 
     simulation.run(check())
 
 
-def test_no_places_for_batch():
+def test_no_slots_for_batch():
     async def check():
-        scheme = make_admission(model.make_limiter("averse", 0), max_batch=0)
-        assert scheme.count_free_batch_slots() == 0
+        controller = make_admission(model.make_limiter("averse", 0), max_batch=0)
+        assert controller.count_free_batch_slots() == 0
         with pytest.raises(exception.RefusedError, match="No place"):
-            await scheme.admit_batch(admission.Ticket(workspace="w"))
+            await controller.admit_batch(admission.Ticket(workspace="w"))
 
     simulation.run(check())
 
 
 @pytest.mark.parametrize("batch_harm", ["averse", "throughput"])
-def test_batch_goes_on_beside_steady_online(batch_harm):
-    """Online requests never pause, as at a fair that lasts all day.
+def test_batch_progresses_during_steady_online_traffic(batch_harm):
+    """Guards against starving batch items under continuous online traffic.
 
-    An agent that waits for an idle engine would never start a batch item, and the
-    nightly job would not be done by any deadline.
+    An agent that starts items only on an idle engine would never start one.
     """
 
     async def check():
         engine = simulation.SimulatedEngine()
         await engine.start()
         clock = asyncio.get_running_loop().time
-        scheme = make_admission(model.make_limiter(batch_harm, 8, clock))
+        controller = make_admission(model.make_limiter(batch_harm, 8, clock))
         online = [
             asyncio.ensure_future(
-                collect(make_work(f"online/{n}", 1000), engine, scheme)
+                collect(make_work(f"online/{n}", 1000), engine, controller)
             )
             for n in range(4)
         ]
         await asyncio.sleep(0.1)
         indices = None
         while indices is None:
-            # An item that is given back is sent again, as an entry does.
+            # Retries a refused item, as an entry does.
             with contextlib.suppress(exception.RefusedError):
-                indices = await collect(make_work("batch/0"), engine, scheme)
+                indices = await collect(make_work("batch/0"), engine, controller)
         assert indices == list(range(TOKENS))
         assert not any(task.done() for task in online)
         for task in online:
@@ -190,18 +188,20 @@
 
 
 def test_online_never_waits_behind_batch_in_the_engine():
-    """Online and batch together ask for more streams than the engine runs.
+    """Guards against online requests queued behind batch items inside the engine.
 
-    An engine serves its own queue as requests came. An online request that got
-    behind a batch item there would wait for the end of a whole generation.
+    The engine serves its own queue in arrival order, so an online request behind a
+    batch item there would wait for a whole generation to end.
     """
 
     async def check():
         engine = WatchingEngine(max_running=16)
         clock = asyncio.get_running_loop().time
-        chosen = model.make_limiter("throughput", 16, clock)
-        scheme = make_admission(chosen, max_batch=16, max_online=16, max_running=16)
-        answers, results = await run_burst(engine, scheme, items=16, online=14)
+        batch_limiter = model.make_limiter("throughput", 16, clock)
+        controller = make_admission(
+            batch_limiter, max_batch=16, max_online=16, max_running=16
+        )
+        answers, results = await run_burst(engine, controller, items=16, online=14)
         assert answers == [list(range(10))] * 14
         assert results == [list(range(TOKENS))] * 16
         assert not engine.online_waited
@@ -209,46 +209,46 @@
     simulation.run(check())
 
 
-def test_item_is_given_back():
-    """Online requests fill one agent while another one is idle.
+def test_queued_item_is_refused_after_a_timeout():
+    """Guards against items that stay queued at a busy agent while others are idle.
 
-    An item that has not begun must not grow old there; refused as not run, it goes
-    to the idle agent.
+    An item that was not started in time is refused as not run, so that the entry can
+    send it to another agent.
     """
 
     async def check():
-        scheme = make_admission(limiter.YieldingLimiter(8, 0.0))
-        await scheme.admit_online(admission.Ticket(workspace="w"), 1.0)
+        controller = make_admission(limiter.YieldingLimiter(8, 0.0))
+        await controller.admit_online(admission.Ticket(workspace="w"), 1.0)
         loop = asyncio.get_running_loop()
         with pytest.raises(exception.RefusedError, match="No place"):
-            await scheme.admit_batch(admission.Ticket(workspace="w"))
+            await controller.admit_batch(admission.Ticket(workspace="w"))
         assert loop.time() == pytest.approx(admission.MAX_BATCH_WAIT_S)
-        assert scheme.count_batch_items() == 0
+        assert controller.count_batch_items() == 0
 
     simulation.run(check())
 
 
-def test_flood_does_not_fill_the_queue():
-    """One workspace sends far more online requests than the target can take.
+def test_one_workspace_cannot_fill_the_queue():
+    """Guards against one workspace filling the queue of online requests.
 
-    With one bound for all, its requests fill the queue and a rival's are refused.
+    With a single common bound, the requests of other workspaces would be refused.
     """
 
     async def check():
-        scheme = make_admission(limiter.FixedLimiter(0), max_online=1, max_queue=10)
-        await scheme.admit_online(admission.Ticket(workspace="flood"), 60.0)
+        controller = make_admission(limiter.FixedLimiter(0), max_online=1, max_queue=10)
+        await controller.admit_online(admission.Ticket(workspace="flood"), 60.0)
         tickets = [admission.Ticket(workspace="flood") for _ in range(20)]
-        waits = [scheme.admit_online(ticket, 60.0) for ticket in tickets]
+        waits = [controller.admit_online(ticket, 60.0) for ticket in tickets]
         flood = [asyncio.ensure_future(each) for each in waits]
         await asyncio.sleep(0)
         assert sum(task.done() for task in flood) == 10
         ticket = admission.Ticket(workspace="calm")
-        calm = asyncio.ensure_future(scheme.admit_online(ticket, 60.0))
+        calm = asyncio.ensure_future(controller.admit_online(ticket, 60.0))
         await asyncio.sleep(0)
         assert not calm.done()
         for task in [*flood, calm]:
             task.cancel()
         await asyncio.gather(*flood, calm, return_exceptions=True)
-        assert scheme.count_online() == 1
+        assert controller.count_online() == 1
 
     simulation.run(check())
--- a/pimentowick/scheduling/tests/test_policy.py
+++ b/pimentowick/scheduling/tests/test_policy.py
@@ -3,8 +3,8 @@
 from pimentowick.scheduling import fairness, model, step, token_accounting
 
 
-def teach(limiter, per_stream_ms=0.4, prefill_ms=0.02, steps=400):
-    """Show a limiter the steps of an engine with a base of 20 ms."""
+def train(limiter, per_stream_ms=0.4, prefill_ms=0.02, steps=400):
+    """Train a limiter with steps of an engine whose base step time is 20 ms."""
     rng = random.Random(1)
     for _ in range(steps):
         online, batch = rng.randrange(1, 8), rng.randrange(8)
@@ -18,48 +18,45 @@
     averse = model.make_limiter("averse", 32)
     throughput = model.make_limiter("throughput", 32)
     for each in (averse, throughput):
-        teach(each)
+        train(each)
     assert [averse.get_limit(online) for online in (0, 1, 8)] == [32, 2, 2]
     assert [throughput.get_limit(online) for online in (0, 1, 8)] == [32, 6, 6]
 
 
 def test_limit_falls_with_a_slower_engine():
     limiter = model.make_limiter("throughput", 32)
-    teach(limiter)
+    train(limiter)
     before = limiter.get_limit(4)
-    teach(limiter, per_stream_ms=2.0, steps=4000)
+    train(limiter, per_stream_ms=2.0, steps=4000)
     assert limiter.get_limit(4) < before
 
 
-def test_stall_teaches_nothing():
-    """The process stands still for a second, and one step seems to last as long.
+def test_stall_does_not_change_the_model():
+    """Guards against fitting the model to a stall of the agent's process.
 
-    Taken for the engine's own speed it would raise the learned base, and the limit
-    would let batch harm online requests for minutes.
+    A step that appears to take a second would raise the estimated base time and with
+    it the limit, and batch items would slow down online requests.
     """
     limiter = model.make_limiter("averse", 32)
-    teach(limiter)
+    train(limiter)
     limiter.observe_step(step.Step(1000.0, online=4, batch=2))
     assert limiter.predict(0) < 21
 
 
-def test_prompts_are_read_one_at_a_time():
-    """An idle engine is given many long prompts at once, then a burst arrives.
+def test_prompts_are_prefilled_one_at_a_time():
+    """Guards against prefilling many long prompts in one step of an idle engine.
 
-    The burst would wait until all of them are read, several times as long as usual.
+    A burst of online requests would have to wait until all of them are prefilled.
     """
     limiter = model.make_limiter("averse", 32)
-    teach(limiter)
+    train(limiter)
     assert limiter.can_start(4000, prefilling=0, online=0, batch=0)
     assert not limiter.can_start(4000, prefilling=4000, online=0, batch=1)
     assert not limiter.can_start(40_000, prefilling=400, online=4, batch=1)
 
 
-def test_idle_time_is_not_taken_for_a_step():
-    """A stream begins alone, a pause after the last one ended.
-
-    The pause is no step; counted as one, it makes the engine look slow.
-    """
+def test_idle_time_is_not_counted_as_a_step():
+    """Guards against counting the idle time between two streams as a slow step."""
     now = [0.0]
     steps = []
     step_tracker = step.StepTracker(steps.append, clock=lambda: now[0])
@@ -82,7 +79,7 @@
     assert abs(names.count("calm") - names.count("flood")) <= 1
 
 
-def test_preempted_entry_goes_first():
+def test_preempted_request_goes_first():
     queue = fairness.FairQueue()
     for name in ("a", "b"):
         queue.push(name, f"{name}-new", cost=10)
@@ -93,10 +90,10 @@
     assert len(queue) == 2
 
 
-def test_workspace_does_not_catch_up():
-    """A workspace sends nothing for a night and then submits a job.
+def test_idle_workspace_gains_no_credit():
+    """Guards against crediting a workspace for the time in which it was idle.
 
-    Had it saved up its share, its rivals would get nothing until it has caught up.
+    With such a credit the other workspaces would starve until it has caught up.
     """
     tokens = token_accounting.TokenAccounting()
     tokens.sort(["busy", "back"])
--- a/pimentowick/scheduling/token_accounting.py
+++ b/pimentowick/scheduling/token_accounting.py
@@ -1,19 +1,19 @@
-"""Which workspace an entry serves next, by the tokens that all entries gave them."""
+"""Order in which an entry serves workspaces, by the tokens served by all entries."""
 
 import dataclasses
 
 __all__ = ["TokenAccounting"]
 
-FIRST_COST = 64.0
+INITIAL_ITEM_TOKENS = 64.0
 SMOOTHING = 0.1
-LIMIT = 10_000
+MAX_WORKSPACES = 10_000
 
 
 @dataclasses.dataclass(slots=True)
 class _Account:
     tokens: float = 0.0
     in_flight: float = 0.0
-    mean_cost: float = FIRST_COST
+    mean_cost: float = INITIAL_ITEM_TOKENS
 
     @property
     def level(self):
@@ -21,22 +21,22 @@
 
 
 class TokenAccounting:
-    """Tokens by workspace, divided by its weight, as agents report them.
+    """Tokens by workspace as reported by agents, divided by the workspace's weight.
 
-    Reports are as old as a heartbeat; the expected tokens of what this entry has in
-    flight are added to them.
+    Reports lag by up to a heartbeat interval, so the expected tokens of the items that
+    this entry has in flight are added to them.
 
     Examples:
-        >>> served = TokenAccounting()
-        >>> served.sort(["a", "b"])
+        >>> token_counts = TokenAccounting()
+        >>> token_counts.sort(["a", "b"])
         ['a', 'b']
-        >>> cost = served.begin("a", weight=1.0)
-        >>> served.sort(["a", "b"])
+        >>> cost = token_counts.begin("a", weight=1.0)
+        >>> token_counts.sort(["a", "b"])
         ['b', 'a']
-        >>> served.end("a", cost)
-        >>> served.record_report("agent", {"a": 0.0, "b": 0.0})
-        >>> served.record_report("agent", {"a": 64.0, "b": 640.0})
-        >>> served.sort(["b", "a"])
+        >>> token_counts.end("a", cost)
+        >>> token_counts.record_report("agent", {"a": 0.0, "b": 0.0})
+        >>> token_counts.record_report("agent", {"a": 64.0, "b": 640.0})
+        >>> token_counts.sort(["b", "a"])
         ['a', 'b']
     """
 
@@ -46,57 +46,70 @@
         self._active = frozenset()
 
     def sort(self, workspaces):
-        """Return the names of workspaces that have work, the next one first."""
+        """Return the names of workspaces with pending items in serving order.
+
+        Args:
+            workspaces: Names of all workspaces that have pending items.
+        """
         names = list(workspaces)
         known = [n for n in names if n in self._active]
         levels = [self._accounts[n].level for n in known]
-        least = min(levels, default=0.0)
+        lowest = min(levels, default=0.0)
         for name in names:
-            account = self._get(name)
+            account = self._get_account(name)
             if name not in self._active and not account.in_flight:
-                # It comes back after a pause and starts level with the others; it
-                # must not catch up on the time in which it asked for nothing.
-                account.tokens = max(account.tokens, least)
+                # A workspace that becomes active again starts at the lowest count of
+                # the active ones, so that it gets no credit for its idle time.
+                account.tokens = max(account.tokens, lowest)
         self._active = frozenset(names)
         return sorted(names, key=lambda name: self._accounts[name].level)
 
     def begin(self, workspace, weight):
-        """Count an item that is sent, and return the cost to be given to `end`."""
-        account = self._get(workspace)
+        """Charge an item that is dispatched, and return the cost to pass to `end`."""
+        account = self._get_account(workspace)
         cost = account.mean_cost / weight
         account.in_flight += cost
         return cost
 
     def end(self, workspace, cost):
-        """Count that an item came back; agents report what it got."""
-        account = self._get(workspace)
+        """Remove the charge of an item that is no longer in flight.
+
+        The tokens that it actually received are reported by its agent.
+        """
+        account = self._get_account(workspace)
         account.in_flight = max(0.0, account.in_flight - cost)
 
     def record_cost(self, workspace, tokens):
-        """Take notice of what an item of a workspace asks for."""
-        account = self._get(workspace)
+        """Update the mean item cost of a workspace with the tokens of an item."""
+        account = self._get_account(workspace)
         account.mean_cost += SMOOTHING * (tokens - account.mean_cost)
 
-    def record_report(self, agent, served):
-        """Take an agent's counts by workspace; they only grow while it lives."""
-        before = self._reports.get(agent)
-        self._reports[agent] = served
-        if before is None or before is served:
+    def record_report(self, agent, token_counts):
+        """Add the increase of an agent's token counts since its previous report.
+
+        Args:
+            agent: Name of the agent.
+            token_counts: Counts by workspace, which never decrease during the lifetime
+                of the agent's process.
+        """
+        previous = self._reports.get(agent)
+        self._reports[agent] = token_counts
+        if previous is None or previous is token_counts:
             return
-        for name, tokens in served.items():
-            grown = tokens - before.get(name, 0.0)
-            if grown > 0:
-                self._get(name).tokens += grown
-
-    def retain_agents(self, present):
-        """Drop the counts of agents that are gone."""
-        for agent in set(self._reports) - set(present):
+        for name, tokens in token_counts.items():
+            increase = tokens - previous.get(name, 0.0)
+            if increase > 0:
+                self._get_account(name).tokens += increase
+
+    def retain_agents(self, agents):
+        """Discard the reports of all agents except `agents`."""
+        for agent in set(self._reports) - set(agents):
             del self._reports[agent]
 
-    def _get(self, workspace):
+    def _get_account(self, workspace):
         account = self._accounts.get(workspace)
         if account is None:
             account = self._accounts[workspace] = _Account()
-            if len(self._accounts) > LIMIT:
+            if len(self._accounts) > MAX_WORKSPACES:
                 self._accounts.pop(next(iter(self._accounts)))
         return account
--- a/pimentowick/scheduling/token_counter.py
+++ b/pimentowick/scheduling/token_counter.py
@@ -1,8 +1,8 @@
-"""Tokens of batch items that each workspace got at one target.
+"""Batch tokens served to each workspace by one target.
 
-Every entry dispatches only the jobs of its own shards. If each of them were fair by
-what it sent itself, a workspace with jobs at many entries would get a share at each
-of them. Agents therefore count what they served for all entries and say so in
+Each entry dispatches only the jobs of its own shards. Fairness based on an entry's own
+dispatches alone would give a workspace with jobs at many entries a share at each of
+them. Agents therefore count the tokens served for all entries and report the counts in
 heartbeat answers.
 """
 
@@ -11,12 +11,12 @@
 
 __all__ = ["TokenCounter"]
 
-LISTED = 64
-FORGET_S = 60.0
+MAX_REPORTED_WORKSPACES = 64
+RETENTION_S = 60.0
 
 
 class TokenCounter:
-    """Counts tokens by workspace, divided by its weight.
+    """Counts tokens by workspace, divided by the workspace's weight.
 
     Args:
         clock: Function that returns monotonic seconds.
@@ -34,15 +34,15 @@
         self._tokens = collections.OrderedDict()
 
     def add(self, workspace, tokens, weight):
-        """Count tokens of a workspace."""
+        """Add tokens to the count of a workspace with the given weight."""
         total, _ = self._tokens.get(workspace, (0.0, 0.0))
         self._tokens[workspace] = (total + tokens / weight, self._clock())
         self._tokens.move_to_end(workspace)
 
     def describe(self):
-        """Return the counts of the workspaces that were served last, by name."""
-        since = self._clock() - FORGET_S
-        while self._tokens and next(iter(self._tokens.values()))[1] < since:
+        """Return the counts of the most recently served workspaces, by name."""
+        cutoff = self._clock() - RETENTION_S
+        while self._tokens and next(iter(self._tokens.values()))[1] < cutoff:
             self._tokens.popitem(last=False)
-        names = list(reversed(self._tokens))[:LISTED]
+        names = list(reversed(self._tokens))[:MAX_REPORTED_WORKSPACES]
         return {name: round(self._tokens[name][0], 1) for name in names}
