--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -157,7 +157,7 @@
             if entry in line:
                 line.remove(entry)
             if not line:
-                turns.forget()
+                turns.reset()
 
     def note_freed(self, place):
         """Take a place that was given back."""
--- a/pimentowick/gateway/tests/test_request_order.py
+++ b/pimentowick/gateway/tests/test_request_order.py
@@ -47,7 +47,7 @@
             in_time[entry.workspace] += now <= entry.start_by
             heapq.heappush(events, (now + PLACE_S, 0, ""))
         if not line:
-            turns.forget()
+            turns.reset()
     return {name: in_time[name] / came[name] for name in rates}
 
 
--- a/pimentowick/routing/affinity.py
+++ b/pimentowick/routing/affinity.py
@@ -17,7 +17,7 @@
 
 __all__ = ["AffinityBalancer"]
 
-BOUND_FACTOR = 1.5
+LOAD_BOUND_FACTOR = 1.5
 MIN_LOAD_BOUND = 0.25
 HOME_CANDIDATES = 4
 HOME_PREFIX_INDEX = 5
@@ -37,7 +37,7 @@
             the mean load.
     """
 
-    def __init__(self, fallback, prefix_index=None, bound_factor=BOUND_FACTOR):
+    def __init__(self, fallback, prefix_index=None, bound_factor=LOAD_BOUND_FACTOR):
         self.prefix_index = prefix_index or routing_prefix.PrefixIndex()
         self._fallback = fallback
         self._bound_factor = bound_factor
--- a/pimentowick/scheduling/admission.py
+++ b/pimentowick/scheduling/admission.py
@@ -21,7 +21,7 @@
 
 __all__ = ["Admission", "Ticket"]
 
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 INITIAL_SERVICE_S = 1.0
 MIN_RETRY_AFTER_S = 0.1
 BATCH_RETRY_AFTER_S = 0.5
@@ -217,7 +217,7 @@
         self.online.discard(ticket)
         self._update_online()
         elapsed_s = self._clock() - ticket.started_at
-        self._mean_service_s += SMOOTHING * (elapsed_s - self._mean_service_s)
+        self._mean_service_s += EWMA_WEIGHT * (elapsed_s - self._mean_service_s)
         self._admit_waiting()
 
     async def admit_batch(self, ticket):
--- a/pimentowick/scheduling/fairness.py
+++ b/pimentowick/scheduling/fairness.py
@@ -57,7 +57,7 @@
         """Advance the virtual time to the start tag of a request that was served."""
         self._virtual = max(self._virtual, tag)
 
-    def forget(self):
+    def reset(self):
         """Discard all tags; call when the queue is empty.
 
         Old finish tags would otherwise delay the next requests of their workspaces.
@@ -150,4 +150,4 @@
 
     def _reset(self):
         self._heap.clear()
-        self._tags.forget()
+        self._tags.reset()
--- a/pimentowick/scheduling/gradient.py
+++ b/pimentowick/scheduling/gradient.py
@@ -18,7 +18,7 @@
 
 __all__ = ["GradientLimiter"]
 
-SMOOTHING = 0.05
+EWMA_WEIGHT = 0.05
 MIN_RATIO = 0.5
 
 
@@ -50,8 +50,8 @@
         self._update_base(step)
         if self._smoothed_ms is None:
             self._smoothed_ms = step.duration_ms
-        self._smoothed_ms += SMOOTHING * (step.duration_ms - self._smoothed_ms)
+        self._smoothed_ms += EWMA_WEIGHT * (step.duration_ms - self._smoothed_ms)
         ratio = (1 + self._max_slowdown) * self._base_ms / self._smoothed_ms
         ratio = min(1.0, max(MIN_RATIO, ratio))
         desired = min(self._max_batch, self._limit * ratio + math.sqrt(self._limit))
-        self._limit += SMOOTHING * (desired - self._limit)
+        self._limit += EWMA_WEIGHT * (desired - self._limit)
--- a/pimentowick/scheduling/idle.py
+++ b/pimentowick/scheduling/idle.py
@@ -14,7 +14,7 @@
 
 SHORT_PAUSE_S = 0.3
 MIN_IDLE_S = 0.25
-SMOOTHING = 0.2
+EWMA_WEIGHT = 0.2
 
 
 class IdlePredictor:
@@ -55,7 +55,7 @@
             return MIN_IDLE_S if self._mean_pause_s < SHORT_PAUSE_S else 0.0
         if online and self._idle_since is not None:
             pause_s = self._clock() - self._idle_since
-            self._mean_pause_s += SMOOTHING * (pause_s - self._mean_pause_s)
+            self._mean_pause_s += EWMA_WEIGHT * (pause_s - self._mean_pause_s)
             self._idle_since = None
         return 0.0
 
--- a/pimentowick/scheduling/token_accounting.py
+++ b/pimentowick/scheduling/token_accounting.py
@@ -5,7 +5,7 @@
 __all__ = ["TokenAccounting"]
 
 INITIAL_ITEM_TOKENS = 64.0
-SMOOTHING = 0.1
+EWMA_WEIGHT = 0.1
 MAX_WORKSPACES = 10_000
 
 
@@ -82,7 +82,7 @@
     def record_cost(self, workspace, tokens):
         """Update the mean item cost of a workspace with the tokens of an item."""
         account = self._get_account(workspace)
-        account.mean_cost += SMOOTHING * (tokens - account.mean_cost)
+        account.mean_cost += EWMA_WEIGHT * (tokens - account.mean_cost)
 
     def record_report(self, agent, token_counts):
         """Add the increase of an agent's token counts since its previous report.
