--- a/pimentowick/membership/fleet.py
+++ b/pimentowick/membership/fleet.py
@@ -456,8 +456,8 @@
             items: Number of pending items.
         """
         leased, others = self._split_by_lease(service)
-        room = sum(max(0, peer.window - peer.batch) for peer in leased)
-        if room >= items:
+        free_slots = sum(max(0, peer.window - peer.batch) for peer in leased)
+        if free_slots >= items:
             return
         self._last_shortage_at[service] = time.monotonic()
         # Waits for all requested leases, since those agents may have enough slots.
@@ -478,9 +478,9 @@
             peer.lease = lease
             peer.lease_requested_at = sent_at
         report = peer.report
-        share = report.get("batch_free", 0) // max(1, report.get("holders", 1))
-        peer.window = peer.batch + share
-        if report.get("batch_free") and not share and peer.batch == 0:
+        fair_slots = report.get("batch_free", 0) // max(1, report.get("holders", 1))
+        peer.window = peer.batch + fair_slots
+        if report.get("batch_free") and not fair_slots and peer.batch == 0:
             # There are fewer free slots than lease holders; the first to dispatch wins.
             peer.window = 1
         if self._wants_lease(peer):
--- a/pimentowick/membership/tests/test_fleet.py
+++ b/pimentowick/membership/tests/test_fleet.py
@@ -211,12 +211,14 @@
     peer.lease = 7
     peer.heartbeat_interval_s = tracked._get_heartbeat_interval(peer)
     # The delay is rounded down to a heartbeat period after the jitter.
-    least = (
+    min_delay_s = (
         peer.heartbeat_interval_s * (1 - fleet.RENEWAL_JITTER) - settings.heartbeat_s
     )
     for _ in range(100):
         assert (
-            least < tracked._get_heartbeat_delay(peer) <= 8.0 / fleet.RENEWALS_PER_LEASE
+            min_delay_s
+            < tracked._get_heartbeat_delay(peer)
+            <= 8.0 / fleet.RENEWALS_PER_LEASE
         )
 
 
--- a/pimentowick/membership/tests/test_pool.py
+++ b/pimentowick/membership/tests/test_pool.py
@@ -14,29 +14,29 @@
 def test_members_match_a_plain_set():
     rng = random.Random(7)
     peers = [make_peer(index) for index in range(30)]
-    made, kept = pool.Pool(random.Random(3)), set()
+    tested_pool, expected = pool.Pool(random.Random(3)), set()
     for _ in range(2000):
         peer = rng.choice(peers)
         if rng.random() < 0.5:
-            made.add(peer)
-            kept.add(peer)
+            tested_pool.add(peer)
+            expected.add(peer)
         else:
-            made.discard(peer)
-            kept.discard(peer)
-        assert set(made.members) == kept
-        assert set(made.find_successors("key", 30)) <= kept
-        domain = {p for p in kept if p.host.failure_domain == "domain-1"}
-        assert set(made.draw("domain-1")) <= domain
-        loads = [p.get_reported_load() for p in kept]
-        assert abs(made.mean_load * max(1, len(kept)) - sum(loads)) < 1e-6
+            tested_pool.discard(peer)
+            expected.discard(peer)
+        assert set(tested_pool.members) == expected
+        assert set(tested_pool.find_successors("key", 30)) <= expected
+        domain = {p for p in expected if p.host.failure_domain == "domain-1"}
+        assert set(tested_pool.draw("domain-1")) <= domain
+        loads = [p.get_reported_load() for p in expected]
+        assert abs(tested_pool.mean_load * max(1, len(expected)) - sum(loads)) < 1e-6
 
 
 def test_ring_distributes_keys_evenly():
-    made = pool.Pool()
+    tested_pool = pool.Pool()
     for index in range(50):
-        made.add(make_peer(index))
+        tested_pool.add(make_peer(index))
     counts = collections.Counter(
-        made.find_successors(str(key), 1)[0].name for key in range(5000)
+        tested_pool.find_successors(str(key), 1)[0].name for key in range(5000)
     )
     assert len(counts) == 50
     assert max(counts.values()) < 2.5 * 100
--- a/pimentowick/routing/prefix.py
+++ b/pimentowick/routing/prefix.py
@@ -49,13 +49,13 @@
     """
     state = hashlib.blake2b(seed.encode(), digest_size=DIGEST_BYTES)
     hashes = []
-    begin = 0
+    start = 0
     for end in PREFIX_LENGTHS:
         if end > len(prompt):
             break
-        state.update(prompt[begin:end].encode("utf-8", "surrogatepass"))
+        state.update(prompt[start:end].encode("utf-8", "surrogatepass"))
         hashes.append(state.digest())
-        begin = end
+        start = end
     return tuple(hashes)
 
 
--- a/pimentowick/routing/tests/conftest.py
+++ b/pimentowick/routing/tests/conftest.py
@@ -18,10 +18,10 @@
 @pytest.fixture
 def make_pool():
     def make(count, failure_domains=("here",)):
-        made = pool.Pool(random.Random(5))
+        created = pool.Pool(random.Random(5))
         for index in range(count):
             domain = failure_domains[index % len(failure_domains)]
-            made.add(make_peer(f"agent-{index}", domain))
-        return made
+            created.add(make_peer(f"agent-{index}", domain))
+        return created
 
     return make
--- a/pimentowick/routing/tests/test_lifetime.py
+++ b/pimentowick/routing/tests/test_lifetime.py
@@ -12,12 +12,12 @@
     for second in range(200):
         events = [("stored", second)]
         events += [("evicted", second - 30)] if second >= 30 else []
-        kept = []
+        delivered = []
         for kind, block in events:
             if rng.random() >= drop:
-                kept.append(engine.CacheEvent(sequence, kind, str(block)))
+                delivered.append(engine.CacheEvent(sequence, kind, str(block)))
             sequence += 1
-        estimate.record_events(kept, sequence, second + lag)
+        estimate.record_events(delivered, sequence, second + lag)
     return estimate
 
 
--- a/pimentowick/scheduling/model.py
+++ b/pimentowick/scheduling/model.py
@@ -114,7 +114,7 @@
         self._fit = least_squares.RecursiveLeastSquares(
             initial_weights, INITIAL_VARIANCES
         )
-        self._history = collections.deque(maxlen=HISTORY_STEPS)
+        self._online_only_history = collections.deque(maxlen=HISTORY_STEPS)
         self._tail_ms = 0.0
         self._steps_since_start = 0
 
@@ -226,8 +226,8 @@
             self.per_stream_ms * step.batch
             + self.batch_prefill_ms_per_char * step.batch_prompt_chars
         )
-        alone_ms = step.duration_ms - added_ms
-        self._history.append(alone_ms)
+        online_only_ms = step.duration_ms - added_ms
+        self._online_only_history.append(online_only_ms)
         if self._fit.count % TAIL_UPDATE_STEPS == 0:
-            ordered = sorted(self._history)
+            ordered = sorted(self._online_only_history)
             self._tail_ms = ordered[int(TAIL_QUANTILE * (len(ordered) - 1))]
--- a/pimentowick/scheduling/tests/test_policy.py
+++ b/pimentowick/scheduling/tests/test_policy.py
@@ -95,11 +95,11 @@
 
     With such a credit the other workspaces would starve until it has caught up.
     """
-    tokens = token_accounting.TokenAccounting()
-    tokens.sort(["busy", "back"])
-    tokens.record_report("agent", {"busy": 0.0, "back": 0.0})
-    tokens.sort(["busy"])
-    tokens.record_report("agent", {"busy": 10_000.0, "back": 0.0})
-    assert tokens.sort(["back", "busy"]) == ["back", "busy"]
-    tokens.begin("back", weight=1.0)
-    assert tokens.sort(["back", "busy"]) == ["busy", "back"]
+    accounting = token_accounting.TokenAccounting()
+    accounting.sort(["busy", "back"])
+    accounting.record_report("agent", {"busy": 0.0, "back": 0.0})
+    accounting.sort(["busy"])
+    accounting.record_report("agent", {"busy": 10_000.0, "back": 0.0})
+    assert accounting.sort(["back", "busy"]) == ["back", "busy"]
+    accounting.begin("back", weight=1.0)
+    assert accounting.sort(["back", "busy"]) == ["busy", "back"]
--- a/pimentowick/scheduling/token_accounting.py
+++ b/pimentowick/scheduling/token_accounting.py
@@ -16,7 +16,7 @@
     mean_cost: float = INITIAL_ITEM_TOKENS
 
     @property
-    def level(self):
+    def charged_tokens(self):
         return self.tokens + self.in_flight
 
 
@@ -27,16 +27,16 @@
     this entry has in flight are added to them.
 
     Examples:
-        >>> token_counts = TokenAccounting()
-        >>> token_counts.sort(["a", "b"])
+        >>> accounting = TokenAccounting()
+        >>> accounting.sort(["a", "b"])
         ['a', 'b']
-        >>> cost = token_counts.begin("a", weight=1.0)
-        >>> token_counts.sort(["a", "b"])
+        >>> cost = accounting.begin("a", weight=1.0)
+        >>> accounting.sort(["a", "b"])
         ['b', 'a']
-        >>> token_counts.end("a", cost)
-        >>> token_counts.record_report("agent", {"a": 0.0, "b": 0.0})
-        >>> token_counts.record_report("agent", {"a": 64.0, "b": 640.0})
-        >>> token_counts.sort(["b", "a"])
+        >>> accounting.end("a", cost)
+        >>> accounting.record_report("agent", {"a": 0.0, "b": 0.0})
+        >>> accounting.record_report("agent", {"a": 64.0, "b": 640.0})
+        >>> accounting.sort(["b", "a"])
         ['a', 'b']
     """
 
@@ -52,9 +52,9 @@
             workspaces: Names of all workspaces that have pending items.
         """
         names = list(workspaces)
-        known = [n for n in names if n in self._active]
-        levels = [self._accounts[n].level for n in known]
-        lowest = min(levels, default=0.0)
+        active = [n for n in names if n in self._active]
+        active_counts = [self._accounts[n].charged_tokens for n in active]
+        lowest = min(active_counts, default=0.0)
         for name in names:
             account = self._get_account(name)
             if name not in self._active and not account.in_flight:
@@ -62,7 +62,7 @@
                 # the active ones, so that it gets no credit for its idle time.
                 account.tokens = max(account.tokens, lowest)
         self._active = frozenset(names)
-        return sorted(names, key=lambda name: self._accounts[name].level)
+        return sorted(names, key=lambda name: self._accounts[name].charged_tokens)
 
     def begin(self, workspace, weight):
         """Charge an item that is dispatched, and return the cost to pass to `end`."""
