--- a/pimentowick/membership/fleet.py
+++ b/pimentowick/membership/fleet.py
@@ -119,7 +119,7 @@
         """Start reading the host list and discovering agents."""
         await self._supervisor.start()
         self._supervisor.start_child("hosts", self._watch_hosts)
-        self._supervisor.start_child("survey", self._discover_agents)
+        self._supervisor.start_child("discovery", self._discover_agents)
 
     async def close(self):
         """Stop all background tasks, including heartbeats."""
--- a/pimentowick/scheduling/idle.py
+++ b/pimentowick/scheduling/idle.py
@@ -60,7 +60,7 @@
         return 0.0
 
     def expects_idle(self, online):
-        """Return whether the engine is without online requests for long enough.
+        """Return whether the engine is idle and likely to stay so long enough.
 
         Args:
             online: Number of running and queued online requests.
