--- a/pimentowick/membership/report.py
+++ b/pimentowick/membership/report.py
@@ -1,13 +1,12 @@
-"""What a heartbeat answer may leave out.
+"""Default values of the fields of a heartbeat answer.
 
-Most answers come from agents that do nothing, and would say so in nine figures.
-An answer that leaves one of them out says that it has the value given here; the
-reader must not keep the older value then.
+Most answers come from idle agents, so fields with default values are omitted to save
+bandwidth. The reader of an answer has to reset an omitted field to its default.
 """
 
-__all__ = ["ABSENT", "shorten"]
+__all__ = ["REPORT_DEFAULTS", "omit_defaults"]
 
-ABSENT = {
+REPORT_DEFAULTS = {
     "online": 0,
     "batch": 0,
     "batch_free": 0,
@@ -18,18 +17,18 @@
     "cache_life_s": None,
     "demand": {},
 }
-"""What an answer that leaves a figure out says of it."""
+"""Values of the fields that a heartbeat answer may omit."""
 
 
-def shorten(answer):
-    """Return an answer without the figures that say what their absence says.
+def omit_defaults(answer):
+    """Return a heartbeat answer without the fields that have their default values.
 
     Examples:
-        >>> shorten({"state": "ready", "online": 0, "batch": 2})
+        >>> omit_defaults({"state": "ready", "online": 0, "batch": 2})
         {'state': 'ready', 'batch': 2}
     """
     return {
         key: value
         for key, value in answer.items()
-        if key not in ABSENT or value != ABSENT[key]
+        if key not in REPORT_DEFAULTS or value != REPORT_DEFAULTS[key]
     }
