--- a/pimentowick/gateway/exchange.py
+++ b/pimentowick/gateway/exchange.py
@@ -136,7 +136,7 @@
         self._refusal = None
 
     def headers_received(self, start_line, headers):
-        self._server.note_request(self._server_connection)
+        self._server.on_request_started(self._server_connection)
         self._exchange = Exchange(
             self._connection, start_line, headers, self._server.is_closing
         )
@@ -281,7 +281,7 @@
         self._server.conn_params.header_timeout = self.get_limits().idle_timeout_s
         return _Receiver(self, server_conn, request_conn)
 
-    def note_request(self, server_conn):
+    def on_request_started(self, server_conn):
         """Note that a request has begun to arrive on a connection."""
         self._idle.discard(server_conn)
 
