--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -145,7 +145,7 @@
 
         def write():
             for _ in range(count):
-                decision.note_request(
+                decision.log_request_event(
                     "online.sent",
                     "51f08a2b3c4d5e6f",
                     attempt=1,
--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -13,7 +13,7 @@
 )
 from pimentowick.scheduling import fairness
 
-__all__ = ["Admission", "Demand", "Place"]
+__all__ = ["Admission", "Place", "SlotRequest"]
 
 FIRST_HOLD_S = 0.5
 # Weight of the newest request in the mean time that places are held.
@@ -21,26 +21,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Demand:
+class SlotRequest:
     """What a request needs of a place.
 
     Attributes:
         service: Name of the service.
         rank: What goes before what, as a tuple; the least is the most urgent.
-        start_by: Monotonic time by which it has to start to be in time.
-        give_up_at: Monotonic time at which waiting has no use any more.
-        begun: Whether it had a place before, and lost its target.
+        start_deadline: Monotonic time by which it has to start to be in time.
+        wait_deadline: Monotonic time at which waiting has no use any more.
+        lost_target: Whether it had a place before, and lost its target.
         workspace: Name of its caller's workspace, or "" without one.
-        turn: Start tag of its workspace, given when it begins to wait.
+        start_tag: Start tag of its workspace, given when it begins to wait.
     """
 
     service: str
     rank: tuple
-    start_by: float
-    give_up_at: float
-    begun: bool = False
+    start_deadline: float
+    wait_deadline: float
+    lost_target: bool = False
     workspace: str = ""
-    turn: float = 0.0
+    start_tag: float = 0.0
 
 
 class Place:
@@ -128,7 +128,7 @@
         """
         waiting = self.count_waiting(demand.service)
         waiting += max(0, self.peers_waiting[demand.service])
-        if waiting and not demand.begun:
+        if waiting and not demand.lost_target:
             return None
         return self._choose(demand.service, avoid)
 
@@ -136,15 +136,15 @@
         """Wait for a `Place`; return None once waiting has no use any more."""
         future = asyncio.get_running_loop().create_future()
         turns = self._turns.setdefault(demand.service, fairness.Tags())
-        turn = turns.assign(demand.workspace, 1.0)
-        demand = dataclasses.replace(demand, turn=turn)
+        start_tag = turns.assign(demand.workspace, 1.0)
+        demand = dataclasses.replace(demand, start_tag=start_tag)
         entry = (demand, avoid, future)
         line = self._waiting.setdefault(demand.service, [])
         line.append(entry)
         self._on_change()
         self.serve_share(demand.service)
         try:
-            async with asyncio.timeout_at(self._convert(demand.give_up_at)):
+            async with asyncio.timeout_at(self._convert(demand.wait_deadline)):
                 return await future
         except TimeoutError:
             # A place may have come in the very turn in which time was up.
@@ -212,7 +212,7 @@
             if place is None:
                 return
             line.remove(entry)
-            self._turns[service].note_served(demand.turn)
+            self._turns[service].note_served(demand.start_tag)
             future.set_result(place)
 
     def _choose(self, service, avoid):
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -112,7 +112,7 @@
             async with asyncio.timeout(LOOK_TIMEOUT_S):
                 await self._feed.refresh()
         except (TimeoutError, exception.LogError) as error:
-            decision.note_belief("configuration.not_read", why=str(error))
+            decision.log_event("configuration.not_read", why=str(error))
             self._next_look_at = self._feed.clock() + LOOK_PAUSE_S
             return False
         return True
@@ -129,7 +129,7 @@
         )
 
     def _note(self, call, why, **fields):
-        decision.note_request(
+        decision.log_request_event(
             "caller.unidentified",
             call.request_id,
             outcome=why,
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -59,7 +59,7 @@
 SHORT_HOLD_S = 0.9
 STORE_TIMEOUT_S = 1.0
 # The balancer notices within two checks, a second apart, that an entry leaves.
-UNREADY_S = 2.5
+BALANCER_REMOVAL_S = 2.5
 # What closing takes (1 ms between its log lines), and room for a slow
 # host.
 STOP_MARGIN_S = 0.4
@@ -248,7 +248,7 @@
         self._supervisor.start_child("clean", self._clean)
         self._supervisor.start_child("outliers", self._eject_outliers)
         self._supervisor.start_child("slow callers", self._callers.close_slow)
-        decision.note_belief(
+        decision.log_event(
             "gateway.started", host=self.settings.name, store=self.store.address
         )
 
@@ -272,18 +272,18 @@
         """Leave the balancer's rotation and finish what is under way."""
         began_at = time.monotonic()
         self._draining = True
-        decision.note_belief("gateway.draining", busy=self._callers.busy)
+        decision.log_event("gateway.draining", busy=self._callers.busy)
         self._callers.close_connections()
         ends_at = began_at + self.settings.stop_grace_s - STOP_MARGIN_S
         batch = asyncio.create_task(self._stop_batch(ends_at))
         # The balancer goes on sending callers here while too few other entries are
         # ready. Taken until the end, some would be cut by it.
-        await asyncio.sleep(max(0.0, began_at + UNREADY_S - time.monotonic()))
+        await asyncio.sleep(max(0.0, began_at + BALANCER_REMOVAL_S - time.monotonic()))
         await self._callers.stop_listening()
         while self._callers.busy and time.monotonic() < ends_at:
             await asyncio.sleep(DRAIN_CHECK_S)
         await batch
-        decision.note_belief("gateway.drained", busy=self._callers.busy)
+        decision.log_event("gateway.drained", busy=self._callers.busy)
 
     async def _stop_batch(self, ends_at):
         """Record how far the items are and give the parts back.
@@ -299,7 +299,7 @@
                 await self.ownership.leave()
                 await self._withdraw()
         except TimeoutError:
-            decision.note_belief("gateway.batch_unsaved")
+            decision.log_event("gateway.batch_unsaved")
 
     async def close(self):
         """Close everything."""
@@ -310,19 +310,19 @@
         await self._peer_configuration.close()
         self.pools.close()
         await self.store.close()
-        decision.note_belief("gateway.stopped")
+        decision.log_event("gateway.stopped")
 
     def reload(self):
         """Read the settings file again; what is under way goes on."""
         try:
             found = node.read_settings(node.find_path())
         except exception.SettingsError as error:
-            decision.note_belief("settings.unreadable", why=str(error))
+            decision.log_event("settings.unreadable", why=str(error))
             return
         changed = found != self.settings
         self.settings = found
         self.store.address = found.store_address
-        decision.note_belief("settings.read", changed=changed)
+        decision.log_event("settings.read", changed=changed)
 
     @property
     def is_ready(self):
@@ -372,7 +372,7 @@
                     found.ejected = not found.ejected
                     name = "target.ejected" if found.ejected else "target.readmitted"
                     bad = ejected.get(found.id, 0.0)
-                    decision.note_belief(name, target=found.id, bad=bad)
+                    decision.log_event(name, target=found.id, bad=bad)
                     changed = True
             if changed:
                 self._note_places()
@@ -389,7 +389,7 @@
                 await self.store.append(ENTRIES_TOPIC, 0, records, None)
                 return
             except exception.LogError as error:
-                decision.note_belief("gateway.unannounced", why=str(error))
+                decision.log_event("gateway.unannounced", why=str(error))
                 await asyncio.sleep(1.0)
 
     async def _withdraw(self):
@@ -397,7 +397,7 @@
         try:
             await self.store.append(ENTRIES_TOPIC, 0, records, None)
         except exception.LogError as error:
-            decision.note_belief("gateway.not_withdrawn", why=str(error))
+            decision.log_event("gateway.not_withdrawn", why=str(error))
 
     async def _clean(self):
         """Drop what is out of date: targets that are gone, jobs nobody reads."""
@@ -415,7 +415,7 @@
         self.metrics.count_refusal(refusal, request.workspace)
         if refusal.code not in LOGGED_CODES:
             call = message.decode_call(request.headers)
-            decision.note_request(
+            decision.log_request_event(
                 "caller.refused",
                 call.request_id,
                 outcome=refusal.code,
@@ -463,7 +463,7 @@
     try:
         settings = node.read_settings(node.find_path())
     except exception.SettingsError as error:
-        decision.note_belief("settings.unreadable", why=str(error))
+        decision.log_event("settings.unreadable", why=str(error))
         sys.exit(EXIT_SETTINGS)
     asyncio.run(_run(Gateway(settings)))
 
--- a/pimentowick/gateway/decision.py
+++ b/pimentowick/gateway/decision.py
@@ -13,7 +13,7 @@
 import orjson
 from loguru import logger
 
-__all__ = ["configure", "count_dropped", "note_belief", "note_request"]
+__all__ = ["configure", "count_dropped", "log_event", "log_request_event"]
 
 # Bounds what the log costs; a few lines are written for each request.
 LINES_PER_S = 400
@@ -127,7 +127,7 @@
     logger.bind(line=line).log(level, "")
 
 
-def note_request(event, request_id, **fields):
+def log_request_event(event, request_id, **fields):
     """Log a decision on one request.
 
     Args:
@@ -138,6 +138,6 @@
     _write("INFO", event, {"id": request_id, **fields})
 
 
-def note_belief(event, **fields):
+def log_event(event, **fields):
     """Log a change of what the process believes, or of a dependency."""
     _write("INFO", event, fields)
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -75,7 +75,7 @@
     def _find_route(self, current, request, call):
         found = current.find(request.host, request.path)
         if found is None:
-            decision.note_request(
+            decision.log_request_event(
                 "online.no_route",
                 call.request_id,
                 outcome="unknown_route",
@@ -110,7 +110,7 @@
         wait_s = self._quotas.take(caller.name, limit, time.monotonic())
         if not wait_s:
             return
-        decision.note_request(
+        decision.log_request_event(
             "caller.over_quota",
             call.request_id,
             outcome="rate_limit",
--- a/pimentowick/gateway/exchange.py
+++ b/pimentowick/gateway/exchange.py
@@ -259,7 +259,7 @@
             begun_at = {conn: begun_at.get(conn, now) for conn in begun}
             for connection, at in begun_at.items():
                 if now - at > limit_s:
-                    decision.note_belief("caller.slow", waited_s=now - at)
+                    decision.log_event("caller.slow", waited_s=now - at)
                     connection.stream.close()
 
     def close_idle(self):
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -142,7 +142,7 @@
         try:
             await made.save(RECORD_TIMEOUT_S)
         except exception.LogError as error:
-            decision.note_request("item.unrecorded", made.item.id, why=str(error))
+            decision.log_request_event("item.unrecorded", made.item.id, why=str(error))
 
 
 async def save_last(made, timeout_s):
@@ -150,7 +150,7 @@
     try:
         await made.save(timeout_s)
     except exception.LogError as error:
-        decision.note_request("item.unrecorded", made.item.id, why=str(error))
+        decision.log_request_event("item.unrecorded", made.item.id, why=str(error))
 
 
 async def _watch(sending, sink):
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -67,7 +67,7 @@
                 await self._refresh()
                 self._runner.own(self._runner.owned | (left - held))
                 left = held
-                decision.note_belief(
+                decision.log_event(
                     "ownership.taken",
                     parts=sorted(self._runner.owned),
                     waits_for=sorted(held),
@@ -81,4 +81,4 @@
         try:
             await self._storage.refresh()
         except exception.LogError as error:
-            decision.note_belief("ownership.not_refreshed", why=str(error))
+            decision.log_event("ownership.not_refreshed", why=str(error))
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -166,7 +166,7 @@
                 await self._flight
                 delay = FIRST_DELAY_S
             except exception.LogError as error:
-                decision.note_belief(
+                decision.log_event(
                     "ledger.delayed",
                     waiting=len(self._waiting),
                     why=str(error),
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -111,7 +111,7 @@
                 await self._append_waiting()
                 delay = FIRST_DELAY_S
             except exception.LogError as error:
-                decision.note_belief(
+                decision.log_event(
                     "outcomes.delayed", waiting=len(self._waiting), why=str(error)
                 )
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
--- a/pimentowick/gateway/peer_configuration.py
+++ b/pimentowick/gateway/peer_configuration.py
@@ -88,7 +88,7 @@
             KeyError,
         ) as error:
             why = f"{type(error).__name__}: {error}"
-            decision.note_belief("configuration.not_asked", neighbour=address, why=why)
+            decision.log_event("configuration.not_asked", neighbour=address, why=why)
             return
         if value is not None:
             self._configuration.take(value)
@@ -116,7 +116,7 @@
         if helped != self._helped:
             self._helped = helped
             name = "configuration.by_neighbour" if helped else "configuration.by_store"
-            decision.note_belief(name, age_s=self._get_age(), **fields)
+            decision.log_event(name, age_s=self._get_age(), **fields)
 
 
 def _check_age(value):
--- a/pimentowick/gateway/policy/request_order.py
+++ b/pimentowick/gateway/policy/request_order.py
@@ -20,8 +20,14 @@
     """Return the key by which those that wait are ordered, the least first.
 
     Args:
-        demand: The `pimentowick.gateway.admission.Demand`.
+        demand: The `pimentowick.gateway.admission.SlotRequest`.
         now: Monotonic time, in seconds.
     """
-    late = demand.start_by < now
-    return demand.rank, not demand.begun, late, demand.turn, demand.start_by
+    late = demand.start_deadline < now
+    return (
+        demand.rank,
+        not demand.lost_target,
+        late,
+        demand.start_tag,
+        demand.start_deadline,
+    )
--- a/pimentowick/gateway/preparation.py
+++ b/pimentowick/gateway/preparation.py
@@ -57,7 +57,7 @@
                 self._on_read(job.id, await self._read_once(job, is_new))
                 return
             except exception.LogError as error:
-                decision.note_request("batch.not_read", job.id, why=str(error))
+                decision.log_request_event("batch.not_read", job.id, why=str(error))
             await asyncio.sleep(delay)
             delay = min(delay * 2, LAST_DELAY_S)
             is_new = False
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -130,7 +130,7 @@
         rank = (self._route.priority, self._route.priority)
         if self._workspace is not None:
             rank = self._workspace.rank(self._route.priority)
-        demand = admission.Demand(
+        demand = admission.SlotRequest(
             self._service,
             rank,
             received_at + objective_s - load_shedding.FIRST_EVENT_S,
@@ -154,7 +154,7 @@
 
     async def _take_place(self, demand):
         avoid = frozenset(self._progress.been_at)
-        demand = dataclasses.replace(demand, begun=bool(avoid))
+        demand = dataclasses.replace(demand, lost_target=bool(avoid))
         place = self._admission.take_now(demand, avoid)
         if place is None and avoid:
             place = self._admission.take_now(demand)
@@ -165,7 +165,7 @@
         time_s = self._ends_at - self._exchange.received_at
         if first and load_shedding.should_shed(line, self._route.objective_s, time_s):
             return None
-        decision.note_request(
+        decision.log_request_event(
             "online.queued",
             self._call.request_id,
             kind=self._route.kind,
@@ -201,7 +201,7 @@
         )
         self._sent = True
         self._sent_at = time.monotonic()
-        decision.note_request(
+        decision.log_request_event(
             "online.sent",
             self._call.request_id,
             kind=self._route.kind,
@@ -332,7 +332,7 @@
             "whole": now - received_at,
         }
         self._metrics.count_request(self._route.kind, why, self._status, phases)
-        decision.note_request(
+        decision.log_request_event(
             name,
             self._call.request_id,
             outcome=why,
--- a/pimentowick/gateway/retention.py
+++ b/pimentowick/gateway/retention.py
@@ -41,6 +41,6 @@
             try:
                 await self._storage.remove(found)
             except exception.LogError as error:
-                decision.note_belief("job.not_removed", job=found.id, why=str(error))
+                decision.log_event("job.not_removed", job=found.id, why=str(error))
                 return
-            decision.note_request("job.removed", found.id, outcome="too_old")
+            decision.log_request_event("job.removed", found.id, outcome="too_old")
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -176,7 +176,7 @@
             runs.sort(key=lambda run: run.steps_done)
             for run in runs[:count]:
                 self._metrics.count_item("preempted")
-                decision.note_request(
+                decision.log_request_event(
                     "item.preempted",
                     run.item.id,
                     job=run.job.id,
@@ -249,7 +249,9 @@
                     run.transcript.take_contents(named)
                 except exception.LogError as error:
                     # Its body is dropped once it is listed, which is not read yet.
-                    decision.note_request("item.delayed", run.item.id, why=str(error))
+                    decision.log_request_event(
+                        "item.delayed", run.item.id, why=str(error)
+                    )
                     run.not_before = time.monotonic() + FAILURE_PAUSE_S
                     loop = asyncio.get_running_loop()
                     loop.call_later(FAILURE_PAUSE_S, self._look_again)
@@ -283,9 +285,11 @@
             try:
                 await made.give_up(RECORD_TIMEOUT_S)
                 outcome = "route_removed"
-                decision.note_request("item.given_up", made.item.id, outcome=outcome)
+                decision.log_request_event(
+                    "item.given_up", made.item.id, outcome=outcome
+                )
             except exception.LogError as error:
-                decision.note_request("item.delayed", made.item.id, why=str(error))
+                decision.log_request_event("item.delayed", made.item.id, why=str(error))
             finally:
                 self._ending.discard(key)
 
@@ -356,7 +360,7 @@
             self._start(run, target)
 
     def _start(self, run, target):
-        decision.note_request(
+        decision.log_request_event(
             "item.sent",
             run.item.id,
             job=run.job.id,
@@ -380,7 +384,7 @@
                 await work
             except exception.LogError as error:
                 run.not_before = time.monotonic() + FAILURE_PAUSE_S
-                decision.note_request("item.delayed", run.item.id, why=str(error))
+                decision.log_request_event("item.delayed", run.item.id, why=str(error))
             finally:
                 if run.task is asyncio.current_task():
                     self._release(run)
@@ -437,7 +441,7 @@
         outcome, sink = await execution.send(run, target, self._pools(target))
         self._health.note_outcome(target, outcome)
         self._metrics.count_item(outcome.why)
-        decision.note_request(
+        decision.log_request_event(
             "item.ran",
             run.item.id,
             job=run.job.id,
@@ -477,7 +481,7 @@
 
     async def _list_dead(self, run, why):
         await run.transcript.give_up(RECORD_TIMEOUT_S)
-        decision.note_request(
+        decision.log_request_event(
             "item.given_up",
             run.item.id,
             job=run.job.id,
--- a/pimentowick/gateway/tests/test_admission.py
+++ b/pimentowick/gateway/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 def make_demand(wait_s):
     now = time.monotonic()
-    return admission.Demand("s", (0, 0), now + wait_s, now + wait_s)
+    return admission.SlotRequest("s", (0, 0), now + wait_s, now + wait_s)
 
 
 def test_place_that_comes_as_the_wait_ends_is_not_lost():
@@ -86,13 +86,13 @@
     async def run():
         line, found = make_admission(slots=2)
         line.peers_waiting["s"] = 5
-        begun = dataclasses.replace(make_demand(-1.0), begun=True)
-        first = line.take_now(begun)
+        lost_target = dataclasses.replace(make_demand(-1.0), lost_target=True)
+        first = line.take_now(lost_target)
         assert first.target is found
-        held = line.take_now(begun)
+        held = line.take_now(lost_target)
         fresh = asyncio.create_task(line.wait(make_demand(5.0)))
         await asyncio.sleep(0)
-        late = dataclasses.replace(begun, give_up_at=time.monotonic() + 5.0)
+        late = dataclasses.replace(lost_target, wait_deadline=time.monotonic() + 5.0)
         again = asyncio.create_task(line.wait(late))
         await asyncio.sleep(0)
         held.close()
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -417,7 +417,7 @@
         found = await start_whole_item(site, server)
         draining = asyncio.create_task(found.drain())
         await wait.wait_for(lambda: found.runner.recording, 10, 0.005)
-        await asyncio.wait({draining}, timeout=daemon.UNREADY_S + 0.2)
+        await asyncio.wait({draining}, timeout=daemon.BALANCER_REMOVAL_S + 0.2)
         assert not draining.done()
         site.store.board.place(faults.Order("clear"))
         await asyncio.wait_for(draining, 20)
--- a/pimentowick/gateway/tests/test_request_order.py
+++ b/pimentowick/gateway/tests/test_request_order.py
@@ -33,18 +33,20 @@
             free += 1
         else:
             came[name] += 1
-            turn = turns.assign(name, 1.0) if is_fair else 0.0
-            start_by, give_up_at = now + OBJECTIVE_S, now + PATIENCE_S
+            start_tag = turns.assign(name, 1.0) if is_fair else 0.0
+            start_deadline, wait_deadline = now + OBJECTIVE_S, now + PATIENCE_S
             line.append(
-                admission.Demand("s", (0, 0), start_by, give_up_at, False, name, turn)
+                admission.SlotRequest(
+                    "s", (0, 0), start_deadline, wait_deadline, False, name, start_tag
+                )
             )
-        line = [entry for entry in line if entry.give_up_at > now]
+        line = [entry for entry in line if entry.wait_deadline > now]
         line.sort(key=lambda entry: request_order.rank(entry, now))
         while free and line:
             entry = line.pop(0)
-            turns.note_served(entry.turn)
+            turns.note_served(entry.start_tag)
             free -= 1
-            in_time[entry.workspace] += now <= entry.start_by
+            in_time[entry.workspace] += now <= entry.start_deadline
             heapq.heappush(events, (now + PLACE_S, 0, ""))
         if not line:
             turns.forget()
@@ -68,17 +70,17 @@
 
 
 def make(**changes):
-    demand = admission.Demand("s", (0, 0), 10.0, 20.0)
+    demand = admission.SlotRequest("s", (0, 0), 10.0, 20.0)
     return dataclasses.replace(demand, **changes)
 
 
 def test_what_goes_before_what():
     order = [
-        make(rank=(-1, 1), turn=9.0),
-        make(begun=True, turn=9.0),
-        make(turn=1.0, start_by=11.0),
-        make(turn=2.0, start_by=9.0),
-        make(turn=0.0, start_by=1.0),
+        make(rank=(-1, 1), start_tag=9.0),
+        make(lost_target=True, start_tag=9.0),
+        make(start_tag=1.0, start_deadline=11.0),
+        make(start_tag=2.0, start_deadline=9.0),
+        make(start_tag=0.0, start_deadline=1.0),
         make(rank=(1, 0)),
     ]
     ranked = sorted(order, key=lambda entry: request_order.rank(entry, 5.0))
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -152,7 +152,9 @@
             await self._storage.contents.drop(self._job.id, references)
         except exception.LogError as error:
             # They go with the job.
-            decision.note_request("item.contents_kept", self.item.id, why=str(error))
+            decision.log_request_event(
+                "item.contents_kept", self.item.id, why=str(error)
+            )
 
     async def note_failure(self, timeout_s):
         """Record that a target said the run has failed.
@@ -194,7 +196,7 @@
             try:
                 pieces[name] = orjson.loads(value)
             except ValueError:
-                decision.note_belief("item.piece_garbled", piece=name)
+                decision.log_event("item.piece_garbled", piece=name)
     best = ([], [], None)
     for name in pieces:
         chain = _follow_back(pieces, name)
