--- a/pimentowick/gateway/__main__.py
+++ b/pimentowick/gateway/__main__.py
@@ -4,9 +4,10 @@
 
 
 def main():
-    """Run until told to stop."""
-    # The platform sends SIGHUP when the settings file changes, perhaps while the
-    # modules are loaded; unhandled it ends the process. The file is read after that.
+    """Run an entry until SIGTERM or SIGINT arrives."""
+    # The platform sends SIGHUP when the settings file changes. The default action
+    # would end the process if that happens during the imports below. The file is read
+    # after them, so the change is not missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from pimentowick.gateway import daemon
 
--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Places at targets for online requests: who waits, and who gets the next one."""
+"""Admission of online requests: the queue of one entry and the slots at targets."""
 
 import asyncio
 import collections
@@ -13,25 +13,26 @@
 )
 from pimentowick.scheduling import fairness
 
-__all__ = ["Admission", "Place", "SlotRequest"]
+__all__ = ["AcquiredSlot", "Admission", "SlotRequest"]
 
-FIRST_HOLD_S = 0.5
-# Weight of the newest request in the mean time that places are held.
+# Estimate of the mean hold time before the first slot is released.
+INITIAL_HOLD_S = 0.5
+# Weight of the newest request in the moving average of the hold time.
 HOLD_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What a request needs of a place.
+    """What admission needs to know of a request to queue it and choose its target.
 
     Attributes:
         service: Name of the service.
-        rank: What goes before what, as a tuple; the least is the most urgent.
-        start_deadline: Monotonic time by which it has to start to be in time.
-        wait_deadline: Monotonic time at which waiting has no use any more.
-        lost_target: Whether it had a place before, and lost its target.
+        rank: Priority as a tuple; the smallest is the most urgent.
+        start_deadline: Monotonic time by which it has to start to meet its objective.
+        wait_deadline: Monotonic time at which it leaves the queue unserved.
+        lost_target: Whether it held a slot before and its target failed.
         workspace: Name of its caller's workspace, or "" without one.
-        start_tag: Start tag of its workspace, given when it begins to wait.
+        start_tag: Start tag of its workspace, assigned when it is queued.
     """
 
     service: str
@@ -43,45 +44,46 @@
     start_tag: float = 0.0
 
 
-class Place:
-    """A place at a target, held until `close`.
+class AcquiredSlot:
+    """A slot at a target, held until `release`.
 
     Attributes:
         target: The `pimentowick.gateway.target.Target`.
-        taken_at: Monotonic time at which it was taken.
-        online: Online requests that were known at the target then, without this one.
-        batch: Batch items that were known there then.
+        acquired_at: Monotonic time at which it was acquired.
+        online_at_start: Online requests known at the target then, without this one.
+        batch_at_start: Batch items known at the target then.
     """
 
     def __init__(self, admission, target):
         self.target = target
-        self.online = target.all_online
-        self.batch = target.all_batch
-        self.taken_at = time.monotonic()
+        self.online_at_start = target.all_online
+        self.batch_at_start = target.all_batch
+        self.acquired_at = time.monotonic()
         self._admission = admission
         target.online += 1
 
-    def close(self):
-        """Give the place back."""
+    def release(self):
+        """Return the slot to the target; further calls do nothing."""
         if self._admission is not None:
             admission, self._admission = self._admission, None
             self.target.online -= 1
-            admission.note_freed(self)
+            admission.on_slot_released(self)
 
 
 class Admission:
-    """The waiting line of one entry.
+    """Assigns slots to online requests and queues those that get none.
 
     Args:
         table: `pimentowick.gateway.target.TargetTable`.
         failure_domain: Failure domain of this entry.
-        on_change: Function called after places were taken or given back.
-        get_round_s: Function that returns after how many seconds other entries know
-            what was taken here.
+        on_change: Function called after a request is queued and after a slot is
+            acquired or released.
+        get_propagation_delay_s: Function that returns after how many seconds other
+            entries know of the slots acquired here.
 
     Attributes:
-        peers_waiting: Requests that wait at other entries, by service.
-        hold_s: Mean time that a place is held, by service, in seconds.
+        peers_waiting: Requests queued at other entries, by service.
+        mean_hold_s: Moving average of the time a slot is held, by service, in seconds.
     """
 
     def __init__(
@@ -89,27 +91,27 @@
         table,
         failure_domain,
         on_change=lambda: None,
-        get_round_s=lambda: 0.02,
+        get_propagation_delay_s=lambda: 0.02,
     ):
         self._table = table
         self._failure_domain = failure_domain
         self._on_change = on_change
-        self._get_round_s = get_round_s
-        self._waiting = {}
-        self._turns = {}
-        self._next_share_at = {}
+        self._get_propagation_delay_s = get_propagation_delay_s
+        self._queues = {}
+        self._start_tags = {}
+        self._next_grant_at = {}
         self.peers_waiting = collections.Counter()
-        self.hold_s = {}
+        self.mean_hold_s = {}
 
     def count_waiting(self, service):
-        """Return how many requests wait here."""
-        return len(self._waiting.get(service, ()))
+        """Return the number of requests queued at this entry."""
+        return len(self._queues.get(service, ()))
 
     def list_services(self):
-        """Return the services that requests wait for here."""
-        return [name for name, line in self._waiting.items() if line]
+        """Return the services that have requests queued at this entry."""
+        return [name for name, queue in self._queues.items() if queue]
 
-    def describe(self, service):
+    def get_queue_state(self, service):
         """Return the `load_shedding.Line` of a service."""
         now = time.monotonic()
         usable = [t for t in self._table.list_service(service) if t.is_usable(now)]
@@ -117,135 +119,147 @@
             places=sum(target.slots for target in usable),
             free=target_choice.count_free(usable, now),
             waiting=self.count_waiting(service) + self.peers_waiting[service],
-            hold_s=self.hold_s.get(service, FIRST_HOLD_S),
+            hold_s=self.mean_hold_s.get(service, INITIAL_HOLD_S),
         )
 
-    def take_now(self, demand, avoid=frozenset()):
-        """Return a `Place` if one is free and nobody waits, or None.
+    def try_acquire(self, slot_request, avoid=frozenset()):
+        """Return an `AcquiredSlot`, or None if no slot is free or requests are queued.
 
-        A request that lost its target goes before those that wait: its caller may
-        have part of the answer, and the place that it had became free.
+        A request that lost its target bypasses the queue: its caller may have
+        received part of the response, and the slot it held is free again.
+
+        Args:
+            slot_request: The `SlotRequest`.
+            avoid: Identifiers of the targets that must not be chosen.
         """
-        waiting = self.count_waiting(demand.service)
-        waiting += max(0, self.peers_waiting[demand.service])
-        if waiting and not demand.lost_target:
+        waiting = self.count_waiting(slot_request.service)
+        waiting += max(0, self.peers_waiting[slot_request.service])
+        if waiting and not slot_request.lost_target:
             return None
-        return self._choose(demand.service, avoid)
+        return self._acquire(slot_request.service, avoid)
+
+    async def wait_for_slot(self, slot_request, avoid=frozenset()):
+        """Queue a request; return its `AcquiredSlot`, or None at its wait deadline.
 
-    async def wait(self, demand, avoid=frozenset()):
-        """Wait for a `Place`; return None once waiting has no use any more."""
+        Args:
+            slot_request: The `SlotRequest`.
+            avoid: Identifiers of the targets that must not be chosen.
+        """
         future = asyncio.get_running_loop().create_future()
-        turns = self._turns.setdefault(demand.service, fairness.Tags())
-        start_tag = turns.assign(demand.workspace, 1.0)
-        demand = dataclasses.replace(demand, start_tag=start_tag)
-        entry = (demand, avoid, future)
-        line = self._waiting.setdefault(demand.service, [])
-        line.append(entry)
+        tags = self._start_tags.setdefault(slot_request.service, fairness.Tags())
+        start_tag = tags.assign(slot_request.workspace, 1.0)
+        slot_request = dataclasses.replace(slot_request, start_tag=start_tag)
+        waiter = (slot_request, avoid, future)
+        queue = self._queues.setdefault(slot_request.service, [])
+        queue.append(waiter)
         self._on_change()
-        self.serve_share(demand.service)
+        self.grant_share(slot_request.service)
         try:
-            async with asyncio.timeout_at(self._convert(demand.wait_deadline)):
+            async with asyncio.timeout_at(
+                self._to_loop_time(slot_request.wait_deadline)
+            ):
                 return await future
         except TimeoutError:
-            # A place may have come in the very turn in which time was up.
-            return future.result() if _is_given(future) else None
+            # A slot may be granted in the loop iteration in which the wait times out.
+            return future.result() if _is_granted(future) else None
         except asyncio.CancelledError:
-            if _is_given(future):
-                future.result().close()
+            if _is_granted(future):
+                future.result().release()
             raise
         finally:
-            if entry in line:
-                line.remove(entry)
-            if not line:
-                turns.forget()
-
-    def note_freed(self, place):
-        """Take a place that was given back."""
-        service = place.target.registration.service
-        held = time.monotonic() - place.taken_at
-        mean = self.hold_s.get(service, FIRST_HOLD_S)
-        self.hold_s[service] = mean + HOLD_WEIGHT * (held - mean)
-        self.serve_waiting(service)
+            if waiter in queue:
+                queue.remove(waiter)
+            if not queue:
+                tags.forget()
+
+    def on_slot_released(self, slot):
+        """Update the mean hold time and grant free slots to queued requests."""
+        service = slot.target.registration.service
+        held_s = time.monotonic() - slot.acquired_at
+        mean_s = self.mean_hold_s.get(service, INITIAL_HOLD_S)
+        self.mean_hold_s[service] = mean_s + HOLD_WEIGHT * (held_s - mean_s)
+        self.grant_slots(service)
         self._on_change()
 
-    def serve_share(self, service):
-        """Give this entry's share of the free places to those that wait.
+    def grant_share(self, service):
+        """Grant this entry's share of the free slots to its queued requests.
 
-        A place that became free elsewhere is seen by all entries at once. Taken by
-        each that has a request waiting, it would be sent many, and all but one of
-        them would wait at the target, where no other place can be given to them.
+        All entries see a slot that is freed elsewhere at the same time. If each of
+        them sent a queued request to it, all but one of these requests would wait at
+        the target, where they can no longer be assigned another slot.
         """
         own = self.count_waiting(service)
         now = time.monotonic()
         if not own:
             return
-        if now < self._next_share_at.get(service, 0.0):
+        if now < self._next_grant_at.get(service, 0.0):
             return
         others = max(0, self.peers_waiting[service])
-        free = self.describe(service).free
-        allowed = batch_queue.count_starts(free, own, others)
+        free = self.get_queue_state(service).free
+        limit = batch_queue.count_starts(free, own, others)
         if free:
-            round_s = self._get_round_s()
-            self._next_share_at[service] = now + round_s
+            delay_s = self._get_propagation_delay_s()
+            self._next_grant_at[service] = now + delay_s
             loop = asyncio.get_running_loop()
-            loop.call_later(round_s, self.serve_share, service)
-        self.serve_waiting(service, allowed)
+            loop.call_later(delay_s, self.grant_share, service)
+        self.grant_slots(service, limit)
 
-    def serve_waiting(self, service, limit=None):
-        """Give free places to those that wait, `limit` of them at most."""
-        line = self._waiting.get(service)
-        if not line:
+    def grant_slots(self, service, limit=None):
+        """Grant free slots to queued requests, to at most `limit` of them."""
+        queue = self._queues.get(service)
+        if not queue:
             return
         now = time.monotonic()
-        line.sort(key=lambda entry: request_order.rank(entry[0], now))
-        for entry in list(line):
-            demand, avoid, future = entry
+        queue.sort(key=lambda waiter: request_order.rank(waiter[0], now))
+        for waiter in list(queue):
+            slot_request, avoid, future = waiter
             if future.done():
                 continue
             if limit is not None:
                 limit -= 1
                 if limit < 0:
                     return
-            place = self._choose(service, avoid)
-            if place is None and avoid:
+            slot = self._acquire(service, avoid)
+            if slot is None and avoid:
                 continue
-            if place is None:
+            if slot is None:
                 return
-            line.remove(entry)
-            self._turns[service].note_served(demand.start_tag)
-            future.set_result(place)
+            queue.remove(waiter)
+            self._start_tags[service].note_served(slot_request.start_tag)
+            future.set_result(slot)
 
-    def _choose(self, service, avoid):
+    def _acquire(self, service, avoid):
         targets = self._table.list_service(service)
         target = target_choice.choose_for_online(
             targets,
             time.monotonic(),
             self._failure_domain,
             avoid,
-            self._estimate_coming(service, targets),
+            self._estimate_unseen_requests(service, targets),
         )
         if target is None:
             return None
-        place = Place(self, target)
+        slot = AcquiredSlot(self, target)
         self._on_change()
-        return place
+        return slot
 
-    def _estimate_coming(self, service, targets):
-        """Return how many requests all entries send until they know of each other's.
+    def _estimate_unseen_requests(self, service, targets):
+        """Return how many requests all entries send within the propagation delay.
 
-        So many run at a time as come while one of them holds its place.
+        By Little's law the arrival rate is the number of running requests divided by
+        the mean hold time.
 
         References:
             J. D. C. Little, "A proof for the queuing formula L = lambda W", 1961.
         """
-        running = sum(found.all_online for found in targets)
-        hold_s = self.hold_s.get(service, FIRST_HOLD_S)
-        return running / hold_s * self._get_round_s()
+        running = sum(target.all_online for target in targets)
+        mean_s = self.mean_hold_s.get(service, INITIAL_HOLD_S)
+        return running / mean_s * self._get_propagation_delay_s()
 
-    def _convert(self, monotonic_at):
+    def _to_loop_time(self, monotonic_at):
         loop = asyncio.get_running_loop()
         return loop.time() + monotonic_at - time.monotonic()
 
 
-def _is_given(future):
+def _is_granted(future):
     return future.done() and not future.cancelled()
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The entry as a process: its parts, their tasks, start and stop."""
+"""The entry process: its components, their tasks, startup and shutdown."""
 
 import asyncio
 import signal
@@ -37,38 +37,37 @@
 __all__ = ["Gateway", "run"]
 
 METRICS_PORT = 9464
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 JOBS_TOPIC = store.keyed_topic("jobs")
 OUTCOMES_TOPIC = store.keyed_topic("outcomes")
 ENTRIES_TOPIC = store.keyed_topic("entries")
-# Pauses between two reads of a busy topic: below the times within which a change
-# has to be in force, and as long as they allow, since each read is paid for.
+# Pauses between two reads of a busy topic. Shorter ones apply changes sooner but cause
+# more billed reads.
 CONFIGURATION_PAUSE_S = 0.05
 JOBS_PAUSE_S = 0.4
 ENTRIES_PAUSE_S = 1.0
-# Of the time within which a leaving target gets no new work: what is read then may be
-# two pauses old, and a connection that fell silent takes most of it.
+# Pause as a share of the time within which a draining target must get no new work. Data
+# may be two pauses old, and detecting a dead connection takes most of the rest.
 TARGETS_PAUSE_SHARE = 0.17
-# What is not needed to serve online requests is read after what is; not later than
-# this, since jobs can be taken before.
-READ_LATER_S = 1.0
-# How long the store may hold a read. A silent connection is noticed after this.
-HOLD_S = 1.2
-# For what has to be in force within three seconds: a connection that fell silent, and a
-# busy host's turns, take up to two of them.
-SHORT_HOLD_S = 0.9
+# At startup the jobs are read after the configuration and the targets, or after this
+# time at the latest.
+MAX_JOBS_DELAY_S = 1.0
+# How long the store may hold a long poll. A dead connection is detected after this.
+LONG_POLL_S = 1.2
+# For topics whose changes must take effect within three seconds, including the time to
+# detect a dead connection and event loop delays on a busy host.
+SHORT_POLL_S = 0.9
 STORE_TIMEOUT_S = 1.0
-# The balancer notices within two checks, a second apart, that an entry leaves.
+# The load balancer removes an entry after two failed checks, a second apart.
 BALANCER_REMOVAL_S = 2.5
-# What closing takes (1 ms between its log lines), and room for a slow
-# host.
-STOP_MARGIN_S = 0.4
-DRAIN_CHECK_S = 0.02
-READY_CHECK_S = 0.02
-CLEAN_EVERY_S = 5.0
-# Entries tell each other more seldom than this.
-OUTLIERS_CHECK_S = 0.1
-# Refusals whose decision has a line of its own, with what decided it.
+# Reserved at the end of the grace period for closing connections and tasks.
+SHUTDOWN_MARGIN_S = 0.4
+DRAIN_CHECK_INTERVAL_S = 0.02
+STARTUP_CHECK_INTERVAL_S = 0.02
+CLEANUP_INTERVAL_S = 5.0
+# Shorter than the interval at which entries exchange their outcome counts.
+OUTLIER_CHECK_INTERVAL_S = 0.1
+# Refusals that are logged with their inputs where they are decided.
 LOGGED_CODES = frozenset(
     {
         "busy",
@@ -82,7 +81,7 @@
 
 
 class Gateway:
-    """One entry.
+    """One entry process.
 
     Args:
         settings: `pimentowick.platform.node.NodeSettings`.
@@ -97,13 +96,13 @@
         self.metrics = metric.Metrics()
         self.configuration = follower.ConfigurationFollower()
         self.table = target.TargetTable(
-            lambda found: self.pools.drop(found),
+            lambda removed: self.pools.drop(removed),
             lambda target_id: self.neighbours.tell_target(target_id),
         )
         self.admission = admission.Admission(
             self.table,
             settings.failure_domain,
-            self._note_load,
+            self._on_load_change,
             lambda: self.neighbours.round_s,
         )
         address = f"{settings.ip}:{settings.peer_ports[0]}"
@@ -116,22 +115,22 @@
             self.admission,
             self.outliers,
             self.quotas,
-            self._note_places,
+            self._on_capacity_change,
         )
         self.neighbours.get_limit = self._get_limit
-        found_health = health.Health(self.outliers)
+        target_health = health.Health(self.outliers)
         self.storage = job_storage.JobStorage(
-            self.store, JOBS_TOPIC, OUTCOMES_TOPIC, JOBS_PAUSE_S, HOLD_S, settings
+            self.store, JOBS_TOPIC, OUTCOMES_TOPIC, JOBS_PAUSE_S, LONG_POLL_S, settings
         )
         self.pools = pools.Pools(self.configuration, self.neighbours.peers)
-        self._targets = follower.TargetFollower(self.table, self._note_places)
+        self._targets = follower.TargetFollower(self.table, self._on_capacity_change)
         self.runner = runner.Runner(
             address,
             settings.failure_domain,
             self.storage,
             self.table,
             self.pools.get,
-            found_health,
+            target_health,
             lambda: self.configuration.current,
             settings.parts,
             self.metrics,
@@ -140,12 +139,11 @@
         self.runner.neighbours = self.neighbours
         self.ownership = ownership.Ownership(
             self.store,
-            # The same after a restart: to the store the parts of a process that was
-            # killed stay its own until the lease ends, and under a new name it would
-            # have none of them for three seconds. Nothing else can use the address.
+            # The owner's name is the same after a restart, so that the entry gets its
+            # partitions back without waiting for the previous lease to expire.
             address,
             settings.least_lease_s,
-            self._note_parts,
+            self._on_partitions_change,
             self.neighbours.get_newest_renewal,
         )
         self.neighbours.get_renewal_age = self.ownership.get_age
@@ -153,18 +151,20 @@
             self.ownership, self.runner, self.storage, self.neighbours
         )
         self.neighbours.get_held_parts = self._handover.list_held
-        found_relay = relay.Relay(
-            self.admission, self.pools.get, found_health, self.metrics
+        request_relay = relay.Relay(
+            self.admission, self.pools.get, target_health, self.metrics
         )
         jobs = job_api.JobApi(self.storage, lambda: self.ownership.is_cut_off)
-        self._callers = exchange.Server(
+        self._caller_server = exchange.Server(
             settings.callers_address,
-            lambda request: self._dispatch.serve(request),
+            lambda request: self._dispatcher.serve(request),
             self.configuration.get_limits,
-            self._note_refused,
+            self._on_refused,
         )
-        self._checks = exchange.Server(settings.ready_address, self._answer_check)
-        self._metrics_page = exchange.Server(
+        self._readiness_server = exchange.Server(
+            settings.ready_address, self._answer_readiness
+        )
+        self._metrics_server = exchange.Server(
             f"{settings.ip}:{metrics_port}", self._answer_metrics
         )
         self._feeds = self._make_feeds()
@@ -181,13 +181,13 @@
             self.neighbours.list_heard,
             lambda: self.authentication.is_bounded,
         )
-        self._peers = exchange.Server(address, self._peer_configuration.answer)
-        self._dispatch = dispatch.Dispatch(
+        self._peer_server = exchange.Server(address, self._peer_configuration.answer)
+        self._dispatcher = dispatch.Dispatcher(
             self.configuration,
             self._feeds["configuration"],
             self.authentication,
             self.quotas,
-            found_relay,
+            request_relay,
             jobs,
         )
 
@@ -198,7 +198,7 @@
             0,
             self.configuration,
             CONFIGURATION_PAUSE_S,
-            SHORT_HOLD_S,
+            SHORT_POLL_S,
         )
         targets = feed.Feed(
             self.store,
@@ -206,7 +206,7 @@
             0,
             self._targets,
             TARGETS_PAUSE_SHARE * self.settings.drain_s,
-            SHORT_HOLD_S,
+            SHORT_POLL_S,
         )
         self._targets.feed = targets
         entries = feed.Feed(
@@ -215,7 +215,7 @@
             0,
             follower.EntryFollower(self.neighbours),
             ENTRIES_PAUSE_S,
-            HOLD_S,
+            LONG_POLL_S,
         )
         return {
             "configuration": configuration,
@@ -224,72 +224,85 @@
         }
 
     async def start(self):
-        """Listen, and begin to follow the store."""
+        """Start the servers and the background tasks."""
         await self._supervisor.start()
         await self.store.start()
         await self.neighbours.start()
         await self._peer_configuration.start()
         for server in self._list_servers():
             await server.start()
-        for name, entry in self._feeds.items():
-            self._supervisor.start_child(f"feed {name}", entry.run)
-        for name, entry in (
+        for name, followed in self._feeds.items():
+            self._supervisor.start_child(f"feed {name}", followed.run)
+        for name, log in (
             ("jobs", self.storage.accepted),
             ("outcomes", self.storage.outcomes),
         ):
-            self._supervisor.start_child(f"feed {name}", self._follow_later, entry.feed)
-            self._supervisor.start_child(f"append {name}", entry.run)
+            self._supervisor.start_child(
+                f"feed {name}", self._follow_after_startup, log.feed
+            )
+            self._supervisor.start_child(f"append {name}", log.run)
         self._supervisor.start_child("neighbours", self.neighbours.run)
         self._supervisor.start_child("news relay", self.neighbours.relay)
-        self._supervisor.start_child("announce", self._announce)
+        self._supervisor.start_child("announce", self._register)
         self._supervisor.start_child("peer configuration", self._peer_configuration.run)
         self._supervisor.start_child("ownership", self.ownership.run)
         self._supervisor.start_child("runner", self.runner.run)
-        self._supervisor.start_child("clean", self._clean)
+        self._supervisor.start_child("clean", self._clean_up)
         self._supervisor.start_child("outliers", self._eject_outliers)
-        self._supervisor.start_child("slow callers", self._callers.close_slow)
+        self._supervisor.start_child(
+            "slow callers", self._caller_server.close_slow_connections
+        )
         decision.log_event(
             "gateway.started", host=self.settings.name, store=self.store.address
         )
 
     def _list_servers(self):
-        return self._callers, self._checks, self._metrics_page, self._peers
+        return (
+            self._caller_server,
+            self._readiness_server,
+            self._metrics_server,
+            self._peer_server,
+        )
 
-    async def _follow_later(self, found):
-        """Follow a feed once online requests can be served.
+    async def _follow_after_startup(self, deferred_feed):
+        """Follow a feed once the configuration and the targets are read.
 
-        All hosts return together from a loss of power. Read beside the jobs by all of
-        them, the configuration and the targets would wait for megabytes that nobody
-        needs to serve.
+        After a power loss all hosts start together. Reading the jobs at the same time
+        would delay the much smaller topics needed to serve online requests.
         """
-        ends_at = time.monotonic() + READ_LATER_S
-        first = (self._feeds["configuration"], self._feeds["targets"])
-        while time.monotonic() < ends_at and None in [entry.end for entry in first]:
-            await asyncio.sleep(READY_CHECK_S)
-        await found.run()
+        ends_at = time.monotonic() + MAX_JOBS_DELAY_S
+        required = (self._feeds["configuration"], self._feeds["targets"])
+        while time.monotonic() < ends_at and None in [
+            followed.end for followed in required
+        ]:
+            await asyncio.sleep(STARTUP_CHECK_INTERVAL_S)
+        await deferred_feed.run()
 
     async def drain(self):
-        """Leave the balancer's rotation and finish what is under way."""
+        """Leave the load balancer's rotation and finish the requests in flight."""
         began_at = time.monotonic()
         self._draining = True
-        decision.log_event("gateway.draining", busy=self._callers.busy)
-        self._callers.close_connections()
-        ends_at = began_at + self.settings.stop_grace_s - STOP_MARGIN_S
-        batch = asyncio.create_task(self._stop_batch(ends_at))
-        # The balancer goes on sending callers here while too few other entries are
-        # ready. Taken until the end, some would be cut by it.
+        decision.log_event("gateway.draining", busy=self._caller_server.active_requests)
+        self._caller_server.close_after_response()
+        ends_at = began_at + self.settings.stop_grace_s - SHUTDOWN_MARGIN_S
+        batch = asyncio.create_task(self._stop_batch_work(ends_at))
+        # The load balancer may keep sending requests if too few other entries are
+        # ready. The listener closes early enough for these to finish.
         await asyncio.sleep(max(0.0, began_at + BALANCER_REMOVAL_S - time.monotonic()))
-        await self._callers.stop_listening()
-        while self._callers.busy and time.monotonic() < ends_at:
-            await asyncio.sleep(DRAIN_CHECK_S)
+        await self._caller_server.stop_listening()
+        while self._caller_server.active_requests and time.monotonic() < ends_at:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await batch
-        decision.log_event("gateway.drained", busy=self._callers.busy)
+        decision.log_event("gateway.drained", busy=self._caller_server.active_requests)
+
+    async def _stop_batch_work(self, ends_at):
+        """Save the progress of batch items and release the partitions.
 
-    async def _stop_batch(self, ends_at):
-        """Record how far the items are and give the parts back.
+        Writes are retried until `ends_at` while the store is unavailable, since items
+        without saved progress start over at another entry.
 
-        While the store is away that is tried until the process has to end: it may be
-        back before, and what is not recorded has to be made again.
+        Args:
+            ends_at: Monotonic time at which to give up.
         """
         for name in ("ownership", "runner", "take over"):
             self._supervisor.stop_child(name)
@@ -297,12 +310,12 @@
             async with asyncio.timeout(ends_at - time.monotonic()):
                 await self.runner.close()
                 await self.ownership.leave()
-                await self._withdraw()
+                await self._unregister()
         except TimeoutError:
             decision.log_event("gateway.batch_unsaved")
 
     async def close(self):
-        """Close everything."""
+        """Close all servers, tasks and connections."""
         for server in self._list_servers():
             await server.close()
         await self._supervisor.close()
@@ -313,72 +326,76 @@
         decision.log_event("gateway.stopped")
 
     def reload(self):
-        """Read the settings file again; what is under way goes on."""
+        """Read the settings file again without interrupting requests.
+
+        An unreadable file is logged and the current settings stay in force.
+        """
         try:
-            found = node.read_settings(node.find_path())
+            settings = node.read_settings(node.find_path())
         except exception.SettingsError as error:
             decision.log_event("settings.unreadable", why=str(error))
             return
-        changed = found != self.settings
-        self.settings = found
-        self.store.address = found.store_address
+        changed = settings != self.settings
+        self.settings = settings
+        self.store.address = settings.store_address
         decision.log_event("settings.read", changed=changed)
 
     @property
     def is_ready(self):
-        """Whether requests can be served.
+        """Whether online requests can be served.
 
-        Jobs may still be read: after a loss of power that takes seconds over a small
-        link, and online requests don't need them. Nor do they need all of thousands of
-        targets.
+        Neither the jobs nor the complete list of targets must have been read: both can
+        take seconds over a slow link.
         """
-        is_begun = self.table.by_id or self._feeds["targets"].end is not None
+        are_targets_known = self.table.by_id or self._feeds["targets"].end is not None
         return (
             not self._draining
             and self.configuration.current is not None
-            and bool(is_begun)
+            and bool(are_targets_known)
             and not self.authentication.should_leave_rotation
         )
 
     def _get_limit(self, name):
         """Return the `quota.Limit` of a workspace, or None if it has none."""
         current = self.configuration.current
-        found = None if current is None else current.find_limited(name)
-        return None if found is None else quota.Limit(found.rate_per_s, found.burst)
+        limited = None if current is None else current.find_limited(name)
+        return (
+            None if limited is None else quota.Limit(limited.rate_per_s, limited.burst)
+        )
 
-    def _note_load(self):
+    def _on_load_change(self):
         self.neighbours.note_change()
         self.runner.wake()
 
-    def _note_places(self):
+    def _on_capacity_change(self):
         for service in self.admission.list_services():
-            self.admission.serve_share(service)
+            self.admission.grant_share(service)
         self.runner.wake()
 
-    def _note_parts(self):
+    def _on_partitions_change(self):
         self._supervisor.start_child("take over", self._handover.take_over)
 
     async def _eject_outliers(self):
-        """Let targets rest that fail what they get, until cancelled."""
+        """Eject and readmit targets by their failure counts, until cancelled."""
         while True:
-            await asyncio.sleep(OUTLIERS_CHECK_S)
+            await asyncio.sleep(OUTLIER_CHECK_INTERVAL_S)
             changed = False
             for targets in self.table.list_by_service():
-                ids = [found.id for found in targets]
-                ejected = self.outliers.find_outliers(ids)
-                for found in targets:
-                    if found.ejected == (found.id in ejected):
+                ids = [listed.id for listed in targets]
+                outliers = self.outliers.find_outliers(ids)
+                for listed in targets:
+                    if listed.ejected == (listed.id in outliers):
                         continue
-                    found.ejected = not found.ejected
-                    name = "target.ejected" if found.ejected else "target.readmitted"
-                    bad = ejected.get(found.id, 0.0)
-                    decision.log_event(name, target=found.id, bad=bad)
+                    listed.ejected = not listed.ejected
+                    event = "target.ejected" if listed.ejected else "target.readmitted"
+                    failures = outliers.get(listed.id, 0.0)
+                    decision.log_event(event, target=listed.id, bad=failures)
                     changed = True
             if changed:
-                self._note_places()
+                self._on_capacity_change()
 
-    async def _announce(self):
-        """Write this entry's address where the others look, until it is there."""
+    async def _register(self):
+        """Register this entry in the store, retrying until it succeeds."""
         data = {
             "failure_domain": self.settings.failure_domain,
             "link_mbps": self.settings.link_mbps,
@@ -392,26 +409,26 @@
                 decision.log_event("gateway.unannounced", why=str(error))
                 await asyncio.sleep(1.0)
 
-    async def _withdraw(self):
+    async def _unregister(self):
         records = [store.KeyedRecord(self.neighbours.address, b"")]
         try:
             await self.store.append(ENTRIES_TOPIC, 0, records, None)
         except exception.LogError as error:
             decision.log_event("gateway.not_withdrawn", why=str(error))
 
-    async def _clean(self):
-        """Drop what is out of date: targets that are gone, jobs nobody reads."""
+    async def _clean_up(self):
+        """Remove missing targets and expired jobs periodically, until cancelled."""
         while True:
-            await asyncio.sleep(CLEAN_EVERY_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             self._targets.drop_missing()
             await self._retention.remove_old()
 
-    async def _answer_check(self, request):
+    async def _answer_readiness(self, request):
         status = 200 if self.is_ready else 503
         await request.answer(status, httputil.HTTPHeaders())
 
-    def _note_refused(self, request):
-        refusal = request.refused
+    def _on_refused(self, request):
+        refusal = request.sent_refusal
         self.metrics.count_refusal(refusal, request.workspace)
         if refusal.code not in LOGGED_CODES:
             call = message.decode_call(request.headers)
@@ -422,28 +439,28 @@
                 status=refusal.status,
             )
 
-    def _describe(self):
-        """Return the `metric.State`."""
+    def _collect_state(self):
+        """Return the current `metric.State`."""
         now = time.monotonic()
         feeds = {
             **self._feeds,
             "jobs": self.storage.accepted.feed,
             "outcomes": self.storage.outcomes.feed,
         }
-        services = {found.registration.service for found in self.table.by_id.values()}
-        lines = [self.admission.describe(service) for service in services]
+        services = {listed.registration.service for listed in self.table.by_id.values()}
+        queues = [self.admission.get_queue_state(service) for service in services]
         return metric.State(
             ages_s={
-                **{name: now - entry.fresh_at for name, entry in feeds.items()},
+                **{name: now - followed.fresh_at for name, followed in feeds.items()},
                 "keys": self.authentication.age_s,
             },
-            places=sum(line.places for line in lines),
-            free=sum(line.free for line in lines),
+            slots=sum(queue.places for queue in queues),
+            free_slots=sum(queue.free for queue in queues),
             waiting=sum(map(self.admission.count_waiting, services)),
             targets=len(self.table.by_id),
-            ejected=sum(found.ejected for found in self.table.by_id.values()),
+            ejected=sum(listed.ejected for listed in self.table.by_id.values()),
             open_jobs=len(self.storage.book.open_jobs),
-            open_requests=self._callers.busy,
+            open_requests=self._caller_server.active_requests,
             store_calls=self.store.calls,
             store_bytes=self.store.bytes,
             dropped_lines=decision.count_dropped(),
@@ -452,19 +469,19 @@
         )
 
     async def _answer_metrics(self, request):
-        self.metrics.take_state(self._describe())
+        self.metrics.set_state(self._collect_state())
         body, headers = self.metrics.render()
         await request.answer(200, httputil.HTTPHeaders(headers), body)
 
 
 def run():
-    """Run an entry until it is told to stop."""
+    """Run an entry until SIGTERM or SIGINT arrives, then drain it."""
     decision.configure()
     try:
         settings = node.read_settings(node.find_path())
     except exception.SettingsError as error:
         decision.log_event("settings.unreadable", why=str(error))
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     asyncio.run(_run(Gateway(settings)))
 
 
--- a/pimentowick/gateway/decision.py
+++ b/pimentowick/gateway/decision.py
@@ -1,9 +1,10 @@
-"""The decision log: one structured line on standard output for each decision.
+"""The decision log: one JSON line on standard output per decision.
 
 Notes:
-    A line is a JSON object with the time, the event and its fields. The number of
-    lines a second is bounded, and a reader that stops reading blocks nothing: what
-    does not fit is dropped and counted in the next line that does.
+    A line is a JSON object with the time, the event name and the event's fields. The
+    log is rate-limited and written without blocking. Lines beyond the rate limit, or
+    beyond what the reader takes, are dropped; their number is logged before the next
+    line that is written.
 """
 
 import os
@@ -15,69 +16,73 @@
 
 __all__ = ["configure", "count_dropped", "log_event", "log_request_event"]
 
-# Bounds what the log costs; a few lines are written for each request.
+# Rate limit of the log: a token bucket that holds BURST_LINES.
 LINES_PER_S = 400
 BURST_LINES = 800
 
 
 class _Sink:
-    """Writes lines without waiting for the reader."""
+    """A rate-limited log sink that writes to a file descriptor without blocking."""
 
     def __init__(self, descriptor, clock=time.monotonic):
         self._descriptor = descriptor
         self._clock = clock
-        self._allowed = float(BURST_LINES)
-        self._at = clock()
-        self._rest = b""
-        self.dropped = 0
-        self.all_dropped = 0
+        self._tokens = float(BURST_LINES)
+        self._refilled_at = clock()
+        self._unwritten = b""
+        self.unreported_dropped = 0
+        self.total_dropped = 0
 
     def write(self, message):
         now = self._clock()
-        self._allowed = min(BURST_LINES, self._allowed + (now - self._at) * LINES_PER_S)
-        self._at = now
-        if self._allowed < 1 or not self._flush():
-            self.dropped += 1
-            self.all_dropped += 1
+        self._tokens = min(
+            BURST_LINES, self._tokens + (now - self._refilled_at) * LINES_PER_S
+        )
+        self._refilled_at = now
+        if self._tokens < 1 or not self._flush():
+            self.unreported_dropped += 1
+            self.total_dropped += 1
             return
-        self._allowed -= 1
+        self._tokens -= 1
         line = str(message).encode()
-        if self.dropped:
-            line = orjson.dumps({"event": "log.dropped", "lines": self.dropped})
+        if self.unreported_dropped:
+            line = orjson.dumps(
+                {"event": "log.dropped", "lines": self.unreported_dropped}
+            )
             line += b"\n" + str(message).encode()
-            self.dropped = 0
-        self._rest = line
+            self.unreported_dropped = 0
+        self._unwritten = line
         self._flush()
 
     def _flush(self):
-        """Write what is left of the last line; return whether nothing is."""
-        while self._rest:
+        """Write the rest of the last line; return whether all of it was written."""
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody reads any more; serving goes on.
-                self._rest = b""
+                # The reader closed the pipe; discard the line and go on.
+                self._unwritten = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
 
 
-# The sink of this process, once it is configured.
+# The sink of this process; empty until `configure` is called.
 _sinks = []
 
 
 def count_dropped():
-    """Return how many lines of this process were left out."""
-    return sum(sink.all_dropped for sink in _sinks)
+    """Return the number of lines dropped since the log was configured."""
+    return sum(sink.total_dropped for sink in _sinks)
 
 
 def configure(level="INFO", descriptor=None):
-    """Send the log to standard output.
+    """Send the log to a file descriptor and make that descriptor non-blocking.
 
     Args:
-        level: Least level that is shown.
+        level: Lowest level that is written.
         descriptor: File descriptor; standard output by default.
     """
     if descriptor is None:
@@ -107,13 +112,13 @@
         }
         if record["exception"] is not None:
             kind, value, trace = record["exception"]
-            place = trace
-            while place is not None and place.tb_next is not None:
-                place = place.tb_next
-            where = place.tb_frame.f_code if place is not None else None
+            frame = trace
+            while frame is not None and frame.tb_next is not None:
+                frame = frame.tb_next
+            code = frame.tb_frame.f_code if frame is not None else None
             data["error"] = f"{getattr(kind, '__name__', kind)}: {value}"
-            if where is not None:
-                data["at"] = f"{where.co_filename}:{place.tb_lineno}"
+            if code is not None:
+                data["at"] = f"{code.co_filename}:{frame.tb_lineno}"
         line = orjson.dumps(data, default=str).decode()
         record["extra"]["line"] = line
     return "{extra[line]}\n"
@@ -131,13 +136,18 @@
     """Log a decision on one request.
 
     Args:
-        event: What was decided, as ``part.outcome``.
+        event: Name of the event, as ``component.outcome``.
         request_id: Identifier of the request, item or job.
-        **fields: The inputs that decided it, their age or version, the outcome.
+        **fields: The inputs of the decision, their age or version, and the outcome.
     """
     _write("INFO", event, {"id": request_id, **fields})
 
 
 def log_event(event, **fields):
-    """Log a change of what the process believes, or of a dependency."""
+    """Log a change in the state of the process or of a dependency.
+
+    Args:
+        event: Name of the event, as ``component.outcome``.
+        **fields: Details of the change.
+    """
     _write("INFO", event, fields)
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Where a caller's request goes: to the relay, to the interface of jobs, or nowhere."""
+"""Dispatch of callers' requests to the relay or to the API of batch jobs."""
 
 import time
 
@@ -7,21 +7,20 @@
 from pimentowick.gateway.policy import quota
 from pimentowick.platform import message
 
-__all__ = ["Dispatch"]
+__all__ = ["Dispatcher"]
 
-# An entry reads the configuration within tenths of a second of its start, and others
-# may know it already.
+# An entry reads the configuration within tenths of a second of its start.
 NOT_READY_RETRY_S = 0.3
 
 
-class Dispatch:
-    """Chooses by the configuration in force.
+class Dispatcher:
+    """Authenticates requests, applies rate limits and chooses the handler.
 
     Args:
         configuration: `pimentowick.gateway.follower.ConfigurationFollower`.
-        feed: The `pimentowick.gateway.feed.Feed` that keeps it up to date.
+        feed: The `pimentowick.gateway.feed.Feed` that updates the configuration.
         authentication: `pimentowick.gateway.authentication.Authentication`.
-        quotas: The `pimentowick.gateway.policy.quota.Quota`.
+        quotas: The rate limits, a `pimentowick.gateway.policy.quota.SharedCount`.
         relay: `pimentowick.gateway.relay.Relay`.
         job_api: `pimentowick.gateway.job_api.JobApi`.
     """
@@ -35,7 +34,7 @@
         self._job_api = job_api
 
     async def serve(self, request):
-        """Answer one `exchange.Exchange`.
+        """Answer the request of an `exchange.Exchange`.
 
         Raises:
             RefusedError: The request is refused.
@@ -57,24 +56,25 @@
             caller = await self._identify(request, call, is_public)
             await self._serve_job(request, call, caller, *job_call)
             return
-        found = self._find_route(current, request, call)
-        caller = await self._identify(request, call, found.is_public)
+        matched_route = self._find_route(current, request, call)
+        caller = await self._identify(request, call, matched_route.is_public)
         if self._configuration.current is not current:
+            # Authentication may have refreshed the configuration.
             current = self._configuration.current
-            found = self._find_route(current, request, call)
-        if found.kind == route.Kind.BATCH:
-            await self._job_api.submit(request, found, call, caller)
+            matched_route = self._find_route(current, request, call)
+        if matched_route.kind == route.Kind.BATCH:
+            await self._job_api.submit(request, matched_route, call, caller)
             return
-        await self._serve_online(request, found, call, caller, current)
+        await self._serve_online(request, matched_route, call, caller, current)
 
     async def _identify(self, request, call, is_public):
-        found = await self._authentication.identify(call, is_public)
-        request.workspace = None if found is None else found.name
-        return found
+        caller = await self._authentication.identify(call, is_public)
+        request.workspace = None if caller is None else caller.name
+        return caller
 
     def _find_route(self, current, request, call):
-        found = current.find(request.host, request.path)
-        if found is None:
+        matched_route = current.find(request.host, request.path)
+        if matched_route is None:
             decision.log_request_event(
                 "online.no_route",
                 call.request_id,
@@ -85,9 +85,9 @@
             raise exception.RefusedError(
                 verdict.Refusal(404, "unknown_route", "No route takes this path.")
             )
-        return found
+        return matched_route
 
-    async def _serve_online(self, request, found, call, caller, current):
+    async def _serve_online(self, request, matched_route, call, caller, current):
         is_limited = caller is not None and caller.rate_per_s > 0
         if is_limited:
             self._take_quota(call, caller, current)
@@ -95,7 +95,7 @@
         try:
             may_have_run = await self._relay.serve(
                 request,
-                found,
+                matched_route,
                 call,
                 current.version,
                 caller,
@@ -130,14 +130,14 @@
             )
         )
 
-    async def _serve_job(self, request, call, caller, wanted, job_id):
+    async def _serve_job(self, request, call, caller, operation, job_id):
         name = None if caller is None else caller.name
         job_id = workspace.scope_job_id(name, job_id)
-        if wanted == message.BatchCall.END:
+        if operation == message.BatchCall.END:
             await self._job_api.end(request, job_id)
-        elif wanted == message.BatchCall.READ:
+        elif operation == message.BatchCall.READ:
             await self._job_api.read_results(request, job_id, call)
-        elif wanted == message.BatchCall.BODY:
+        elif operation == message.BatchCall.BODY:
             await self._job_api.read_body(request, job_id)
         else:
             raise exception.RefusedError(
--- a/pimentowick/gateway/event.py
+++ b/pimentowick/gateway/event.py
@@ -1,4 +1,4 @@
-"""Server-sent events, cut at their ends and otherwise left as they came."""
+"""Splitting of a byte stream into server-sent events, whose bytes stay unchanged."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        raw: Its bytes with the blank line at the end.
-        id: Its identifier, or None.
-        data: Its data, lines separated by line feeds.
+        raw: Its bytes, including the blank line that ends it.
+        id: Value of its ``id`` field, or None.
+        data: Values of its ``data`` fields, joined by line feeds.
     """
 
     raw: bytes
@@ -23,10 +23,10 @@
 
 
 class EventSplitter:
-    r"""Cuts a stream of bytes into events; what is incomplete waits.
+    r"""Splits a stream of bytes into events and buffers the incomplete last one.
 
-    A target may stop in the middle of an event. Passed on, the half would be taken
-    for data, and a resumed stream would be joined to it.
+    A target may fail in the middle of an event. If its first half were forwarded, the
+    caller would parse it together with the start of the resumed stream.
 
     Examples:
         >>> splitter = EventSplitter()
@@ -39,26 +39,26 @@
     """
 
     def __init__(self):
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk):
-        """Return the events that are whole with `chunk`."""
-        data = self._rest + chunk
+        """Return the events that `chunk` completes."""
+        data = self._buffer + chunk
         if b"\r" in data:
-            mark, size = b"\r\n\r\n", 4
+            separator, size = b"\r\n\r\n", 4
         else:
-            mark, size = b"\n\n", 2
+            separator, size = b"\n\n", 2
         events = []
         start = 0
-        while (end := data.find(mark, start)) >= 0:
+        while (end := data.find(separator, start)) >= 0:
             events.append(_parse_event(data[start : end + size]))
             start = end + size
-        self._rest = data[start:]
+        self._buffer = data[start:]
         return events
 
     def is_empty(self):
-        """Return whether nothing incomplete waits."""
-        return not self._rest.strip()
+        """Return whether no incomplete event is buffered."""
+        return not self._buffer.strip()
 
 
 def _parse_event(raw):
--- a/pimentowick/gateway/metric.py
+++ b/pimentowick/gateway/metric.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of this entry, in the Prometheus text format.
+"""Metrics of this entry, in the Prometheus text format.
 
-Units stand in the names; no label holds a request, a job, a key or a target. Names of
-workspaces are labels of refusals only, and no more than a few of them.
+To bound the number of time series, no label holds a request, job, key or target.
+Workspace names appear only as labels of refusals, and only a limited number of them.
 """
 
 import dataclasses
@@ -11,36 +11,35 @@
 
 __all__ = ["Metrics", "State"]
 
-# The objectives seen lie between 0.3 and 1 s, callers' patience below 6 s.
-# Workspaces that are counted by name; all others are counted as one.
-NAMED_WORKSPACES = 20
+MAX_NAMED_WORKSPACES = 20
+# Label that all further workspaces share.
 OTHER_WORKSPACES = "(others)"
 PHASE_BUCKETS_S = [0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """What an entry knows as its metrics are asked for.
+    """State of an entry at the time of a scrape.
 
     Attributes:
-        ages_s: Seconds since the state of each topic was known to be complete.
-        places: Places of all usable targets.
-        free: Those without an online request.
-        waiting: Online requests that wait here.
-        targets: Number of targets that are listed.
-        ejected: Number of those that rest, since they fail what they get.
-        open_jobs: Number of jobs with items that may still run.
-        open_requests: Number of requests that are not answered yet.
-        store_calls: Calls of the store by name.
-        store_bytes: Bytes by name of the call and direction.
-        dropped_lines: Lines of the log that were left out.
-        quota_share: Which part of each workspace's limit is refilled here.
-        quota_workspaces: Number of workspaces whose requests are counted now.
+        ages_s: Seconds since each topic was last known to be read to its end.
+        slots: Slots of all usable targets.
+        free_slots: Number of those without an online request.
+        waiting: Online requests queued at this entry.
+        targets: Number of listed targets.
+        ejected: Number of targets ejected by outlier detection.
+        open_jobs: Number of jobs with unfinished items.
+        open_requests: Number of callers' requests being answered.
+        store_calls: Number of calls to the store by name.
+        store_bytes: Bytes sent and received by (name of the call, direction).
+        dropped_lines: Number of log lines dropped.
+        quota_share: Share of each workspace's rate limit that this entry refills.
+        quota_workspaces: Number of workspaces with an active token bucket.
     """
 
     ages_s: dict
-    places: int
-    free: int
+    slots: int
+    free_slots: int
     waiting: int
     targets: int
     ejected: int
@@ -54,7 +53,7 @@
 
 
 class Metrics:
-    """What an entry counts."""
+    """The metrics registry of an entry."""
 
     def __init__(self):
         self.registry = aioprometheus.Registry()
@@ -79,7 +78,7 @@
             "pimentowick_gateway_workspace_refusals_total",
             "Refused requests by workspace and code, the first workspaces by name.",
         )
-        self._named = set()
+        self._named_workspaces = set()
         self._quota_share = self._make_gauge(
             "pimentowick_gateway_quota_share",
             "Which part of each workspace's limit is refilled here.",
@@ -98,14 +97,14 @@
             "pimentowick_gateway_store_bytes_total",
             "Bytes to and from the store by name of the call and direction.",
         )
-        self._dropped = self._make_counter(
+        self._dropped_lines = self._make_counter(
             "pimentowick_gateway_dropped_lines_total", "Lines of the log left out."
         )
         self._ages = self._make_gauge(
             "pimentowick_gateway_age_seconds",
             "Age of what is known, by topic: configuration, targets, entries, jobs.",
         )
-        self._places = self._make_gauge(
+        self._slots = self._make_gauge(
             "pimentowick_gateway_places",
             "Places of all usable targets by state: all, free of online requests.",
         )
@@ -115,13 +114,13 @@
         self._targets = self._make_gauge(
             "pimentowick_gateway_targets", "Targets by state: listed, ejected."
         )
-        self._jobs = self._make_gauge(
+        self._open_jobs = self._make_gauge(
             "pimentowick_gateway_open_jobs", "Jobs with items that may still run."
         )
-        self._busy = self._make_gauge(
+        self._open_requests = self._make_gauge(
             "pimentowick_gateway_open_requests", "Requests that are not answered yet."
         )
-        self._told = {}
+        self._reported = {}
 
     def _make_counter(self, name, text):
         return aioprometheus.Counter(name, text, registry=self.registry)
@@ -130,13 +129,13 @@
         return aioprometheus.Gauge(name, text, registry=self.registry)
 
     def count_request(self, kind, outcome, status, phases):
-        """Count the end of an online request.
+        """Count a finished online request.
 
         Args:
             kind: The `pimentowick.gateway.route.Kind`.
             outcome: Short reason of the end.
-            status: Status of the answer, 0 without one.
-            phases: Seconds by name of the phase; None where it was not reached.
+            status: Status of the response, 0 without one.
+            phases: Seconds by phase; None for a phase that was not reached.
         """
         labels = {"kind": str(kind), "outcome": outcome, "status": str(status)}
         self._requests.inc(labels)
@@ -145,58 +144,58 @@
                 self._phases.add({"kind": str(kind), "phase": phase}, seconds)
 
     def count_retry(self):
-        """Count a further target for a request."""
+        """Count a retry of an online request."""
         self._retries.inc({})
 
     def count_refusal(self, refusal, workspace=None):
-        """Count a refusal that was answered.
+        """Count a refused request.
 
         Args:
             refusal: The `pimentowick.verdict.Refusal`.
-            workspace: Name of the caller's workspace, or None if it isn't known.
+            workspace: Name of the caller's workspace, or None if unknown.
         """
         self._refusals.inc({"code": refusal.code, "verdict": str(refusal.verdict)})
         if workspace is None:
             return
-        if len(self._named) < NAMED_WORKSPACES:
-            self._named.add(workspace)
-        name = workspace if workspace in self._named else OTHER_WORKSPACES
+        if len(self._named_workspaces) < MAX_NAMED_WORKSPACES:
+            self._named_workspaces.add(workspace)
+        name = workspace if workspace in self._named_workspaces else OTHER_WORKSPACES
         self._workspace_refusals.inc({"workspace": name, "code": refusal.code})
 
     def count_item(self, outcome):
-        """Count the end of a run of an item."""
+        """Count a finished run of a batch item."""
         self._items.inc({"outcome": outcome})
 
-    def take_state(self, state):
-        """Take what the entry knows now.
+    def set_state(self, state):
+        """Set the gauges and advance the counters that are kept elsewhere.
 
         Args:
             state: A `State`.
         """
         for name, age_s in state.ages_s.items():
             self._ages.set({"topic": name}, age_s)
-        self._places.set({"state": "all"}, state.places)
-        self._places.set({"state": "free"}, state.free)
+        self._slots.set({"state": "all"}, state.slots)
+        self._slots.set({"state": "free"}, state.free_slots)
         self._waiting.set({}, state.waiting)
         self._targets.set({"state": "listed"}, state.targets)
         self._targets.set({"state": "ejected"}, state.ejected)
-        self._jobs.set({}, state.open_jobs)
+        self._open_jobs.set({}, state.open_jobs)
         self._quota_share.set({}, state.quota_share)
         self._quota_workspaces.set({}, state.quota_workspaces)
-        self._busy.set({}, state.open_requests)
+        self._open_requests.set({}, state.open_requests)
         for name, count in state.store_calls.items():
-            self._bring_up(self._store_calls, {"call": name}, count)
+            self._advance(self._store_calls, {"call": name}, count)
         for (name, direction), count in state.store_bytes.items():
             labels = {"call": name, "direction": direction}
-            self._bring_up(self._store_bytes, labels, count)
-        self._bring_up(self._dropped, {}, state.dropped_lines)
+            self._advance(self._store_bytes, labels, count)
+        self._advance(self._dropped_lines, {}, state.dropped_lines)
 
-    def _bring_up(self, counter, labels, total):
-        """Raise a counter to a total that is counted elsewhere."""
+    def _advance(self, counter, labels, total):
+        """Advance a counter to a total that is counted elsewhere."""
         key = (counter.name, *labels.values())
-        counter.add(labels, total - self._told.get(key, 0))
-        self._told[key] = total
+        counter.add(labels, total - self._reported.get(key, 0))
+        self._reported[key] = total
 
     def render(self):
-        """Return (body, headers) of the metrics page."""
+        """Return the body and the headers of the metrics page."""
         return renderer.render(self.registry, ["text/plain"])
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -1,4 +1,4 @@
-"""One online request: from its route to the last byte of the answer."""
+"""Relay of online requests to targets, with retries at other targets."""
 
 import asyncio
 import dataclasses
@@ -13,38 +13,37 @@
 __all__ = ["Relay"]
 
 DEFAULT_DEADLINE_S = 30.0
-# What the way back to the caller takes; a target that gets all that is left would
-# work until after the caller has gone.
-MARGIN_S = 0.02
-# Targets that state that they did not run a request, one after the other.
+# Reserved for sending the response to the caller before its deadline.
+RESPONSE_MARGIN_S = 0.02
+# Attempts that targets may reject without running them before the request fails.
 MAX_REFUSALS = 4
-# Below this a target can do nothing any more.
-LEAST_LEFT_S = 0.03
+# No attempt starts with less time than this before the deadline.
+MIN_ATTEMPT_S = 0.03
 
 
-class _Next(enum.Enum):
+class _NextStep(enum.Enum):
     DONE = enum.auto()
-    AGAIN = enum.auto()
+    RETRY = enum.auto()
     FAIL = enum.auto()
 
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """What one request has been through.
+    """The finished attempts of one request.
 
     Attributes:
-        runs: Targets that may have run it.
-        refusals: Targets that stated that they did not.
-        been_at: Identifiers of the targets that it was sent to.
+        runs: Number of attempts that may have run at a target.
+        refusals: Number of attempts that did not run.
+        tried_targets: Identifiers of the targets that it was sent to.
     """
 
     runs: int = 0
     refusals: int = 0
-    been_at: set = dataclasses.field(default_factory=set)
+    tried_targets: set = dataclasses.field(default_factory=set)
 
     @property
     def attempts(self):
-        """Number of targets that it was sent to and is done with."""
+        """Number of finished attempts."""
         return self.runs + self.refusals
 
 
@@ -53,84 +52,98 @@
 
     Args:
         admission: `pimentowick.gateway.admission.Admission`.
-        pools: Function from a `target.Target` to its `upstream.Pool`.
+        get_pool: Function that returns the `upstream.Pool` of a `target.Target`.
         health: `pimentowick.gateway.health.Health`.
         metrics: `pimentowick.gateway.metric.Metrics`.
     """
 
-    def __init__(self, admission, pools, health, metrics):
+    def __init__(self, admission, get_pool, health, metrics):
         self._admission = admission
         self._health = health
-        self._pools = pools
+        self._get_pool = get_pool
         self._metrics = metrics
 
-    async def serve(self, exchange, found, call, version, workspace=None, keyed=False):
-        """Answer one request.
+    async def serve(
+        self,
+        exchange,
+        matched_route,
+        call,
+        version,
+        workspace=None,
+        strips_key=False,
+    ):
+        """Answer one request and log its outcome.
 
         Args:
             exchange: The `exchange.Exchange`.
-            found: The `route.Route`.
-            call: The `message.Call` that its headers make.
-            version: Version of the configuration that chose the route.
+            matched_route: The `route.Route`.
+            call: The `message.Call` decoded from its headers.
+            version: Version of the configuration that the route is from.
             workspace: The caller's `pimentowick.gateway.workspace.Workspace`, or None.
-            keyed: Whether callers have keys, which no target may see.
+            strips_key: Whether to remove the caller's key before forwarding.
 
         Returns:
-            Whether it may have run.
+            Whether the request may have run at a target.
         """
         deadline_s = call.deadline_s or DEFAULT_DEADLINE_S
-        bound_s = min(deadline_s - MARGIN_S, found.timeout_s)
-        work = _Work(self, exchange, found, call, bound_s, workspace, keyed)
+        timeout_s = min(deadline_s - RESPONSE_MARGIN_S, matched_route.timeout_s)
+        relayed = _RelayedRequest(
+            self, exchange, matched_route, call, timeout_s, workspace, strips_key
+        )
         try:
             async with asyncio.timeout(
-                exchange.received_at + bound_s - time.monotonic()
+                exchange.received_at + timeout_s - time.monotonic()
             ):
-                why = await work.run()
+                outcome = await relayed.run()
         except TimeoutError:
-            why = await work.expire()
+            outcome = await relayed.on_timeout()
         except asyncio.CancelledError:
-            work.note("online.left", "caller_left", version)
+            relayed.log_end("online.left", "caller_left", version)
             raise
-        work.note("online.ended", why, version)
-        return work.may_have_run
+        relayed.log_end("online.ended", outcome, version)
+        return relayed.may_have_run
 
 
-class _Work:
-    """One request under way."""
+class _RelayedRequest:
+    """One online request from its arrival to the end of its response."""
 
-    def __init__(self, relay, exchange, found, call, bound_s, workspace, keyed):
+    def __init__(
+        self, relay, exchange, matched_route, call, timeout_s, workspace, strips_key
+    ):
         self._admission = relay._admission
-        self._pools = relay._pools
+        self._get_pool = relay._get_pool
         self._health = relay._health
         self._metrics = relay._metrics
         self._exchange = exchange
-        self._route = found
+        self._route = matched_route
         self._call = call
         self._workspace = workspace
-        self._keyed = keyed
-        self._ends_at = exchange.received_at + bound_s
+        self._strips_key = strips_key
+        self._deadline_at = exchange.received_at + timeout_s
         self._progress = _Progress()
-        self._sink = response.Sink(exchange, found.kind == route.Kind.STREAM)
-        self._service = found.choose_service()
-        self._place = None
+        self._sink = response.CallerSink(
+            exchange, matched_route.kind == route.Kind.STREAM
+        )
+        self._service = matched_route.choose_service()
+        self._slot = None
         self._status = 0
         self._sent = False
         self._sent_at = None
 
     @property
     def may_have_run(self):
-        """Whether it may have run at a target."""
+        """Whether the request may have run at a target."""
         return self._sent or bool(self._progress.runs)
 
     async def run(self):
-        """Send the request until an answer is whole; return the reason of the end."""
+        """Try targets until the request is answered; return the outcome for the log."""
         objective_s = self._route.objective_s
         received_at = self._exchange.received_at
-        time_s = self._ends_at - received_at
+        time_s = self._deadline_at - received_at
         rank = (self._route.priority, self._route.priority)
         if self._workspace is not None:
             rank = self._workspace.rank(self._route.priority)
-        demand = admission.SlotRequest(
+        slot_request = admission.SlotRequest(
             self._service,
             rank,
             received_at + objective_s - load_shedding.FIRST_EVENT_S,
@@ -138,32 +151,35 @@
             workspace="" if self._workspace is None else self._workspace.name,
         )
         while True:
-            place = await self._take_place(demand)
-            if place is None:
+            slot = await self._acquire_slot(slot_request)
+            if slot is None:
                 return await self._refuse("no_place")
-            self._place = place
+            self._slot = slot
             try:
-                outcome = await self._send(place.target)
+                outcome = await self._send(slot.target)
             finally:
-                place.close()
-            step = await self._judge(outcome)
-            if step == _Next.DONE:
+                slot.release()
+            step = await self._handle_outcome(outcome)
+            if step == _NextStep.DONE:
                 return outcome.why
-            if step == _Next.FAIL:
+            if step == _NextStep.FAIL:
                 return await self._fail(outcome.why)
 
-    async def _take_place(self, demand):
-        avoid = frozenset(self._progress.been_at)
-        demand = dataclasses.replace(demand, lost_target=bool(avoid))
-        place = self._admission.take_now(demand, avoid)
-        if place is None and avoid:
-            place = self._admission.take_now(demand)
-        if place is not None:
-            return place
-        line = self._admission.describe(self._service)
-        first = not self._progress.been_at
-        time_s = self._ends_at - self._exchange.received_at
-        if first and load_shedding.should_shed(line, self._route.objective_s, time_s):
+    async def _acquire_slot(self, slot_request):
+        """Return an `admission.AcquiredSlot`, or None if the request is shed."""
+        avoid = frozenset(self._progress.tried_targets)
+        slot_request = dataclasses.replace(slot_request, lost_target=bool(avoid))
+        slot = self._admission.try_acquire(slot_request, avoid)
+        if slot is None and avoid:
+            slot = self._admission.try_acquire(slot_request)
+        if slot is not None:
+            return slot
+        queue_state = self._admission.get_queue_state(self._service)
+        is_first = not self._progress.tried_targets
+        time_s = self._deadline_at - self._exchange.received_at
+        if is_first and load_shedding.should_shed(
+            queue_state, self._route.objective_s, time_s
+        ):
             return None
         decision.log_request_event(
             "online.queued",
@@ -171,26 +187,28 @@
             kind=self._route.kind,
             service=self._service,
             attempt=self._progress.attempts + 1,
-            free=line.free,
-            places=line.places,
-            waiting=line.waiting,
-            expected_s=load_shedding.estimate_wait(line),
+            free=queue_state.free,
+            places=queue_state.places,
+            waiting=queue_state.waiting,
+            expected_s=load_shedding.estimate_wait(queue_state),
+        )
+        return await self._admission.wait_for_slot(
+            slot_request, avoid if queue_state.places > 0 else ()
         )
-        return await self._admission.wait(demand, avoid if line.places > 0 else ())
 
     async def _send(self, target):
-        left_s = self._ends_at - time.monotonic()
-        self._progress.been_at.add(target.id)
-        self._sink.begin()
-        resumed_at = self._sink.last_event if self._exchange.started else None
+        left_s = self._deadline_at - time.monotonic()
+        self._progress.tried_targets.add(target.id)
+        self._sink.reset()
+        resume_after = self._sink.last_event_id if self._exchange.started else None
         headers = message.encode_request(
             self._exchange.headers,
             left_s,
             target.id,
             len(self._exchange.body),
-            resumed_at,
+            resume_after,
             None if self._workspace is None else self._workspace.name,
-            self._keyed,
+            self._strips_key,
         )
         request = upstream.Request(
             self._call.request_id,
@@ -207,85 +225,88 @@
             kind=self._route.kind,
             attempt=self._progress.attempts + 1,
             target=target.id,
-            online=self._place.online,
-            batch=self._place.batch,
+            online=self._slot.online_at_start,
+            batch=self._slot.batch_at_start,
             slots=target.slots,
             waited_s=self._sent_at - self._exchange.received_at,
             left_s=left_s,
-            resumed_at=resumed_at,
+            resumed_at=resume_after,
         )
         sink = self._sink
         loop = asyncio.get_running_loop()
         with self._health.watch(
             target, self._route.objective_s, lambda: sink.status, loop.call_later
         ):
-            outcome = await self._pools(target).send(request, sink)
+            outcome = await self._get_pool(target).send(request, sink)
         if outcome.end == upstream.End.NOT_RUN:
             self._sent = self._progress.runs > 0
-        seen = self._place.online + self._place.batch
-        self._health.note_outcome(target, outcome, seen < target.slots / 2)
+        load = self._slot.online_at_start + self._slot.batch_at_start
+        self._health.note_outcome(target, outcome, load < target.slots / 2)
         return outcome
 
-    async def _judge(self, outcome):
-        """Return what to do after a target; answer if the answer is whole."""
+    async def _handle_outcome(self, outcome):
+        """Return the `_NextStep`; send the response if it is complete."""
         if outcome.end == upstream.End.NOT_RUN:
             self._progress.refusals += 1
-            return self._decide_again(self._progress.refusals < MAX_REFUSALS)
+            return self._retry_or_fail(self._progress.refusals < MAX_REFUSALS)
         self._progress.runs += 1
         self._status = outcome.status
-        more = self._route.repeatable and self._progress.runs < self._route.max_attempts
+        may_repeat = (
+            self._route.repeatable and self._progress.runs < self._route.max_attempts
+        )
         if outcome.end == upstream.End.CUT:
-            return self._decide_again(more)
-        if self._sink.passing:
-            return self._end_stream(more)
-        if outcome.status >= 500 and more:
-            return self._decide_again(more)
+            return self._retry_or_fail(may_repeat)
+        if self._sink.forwards_events:
+            return self._finish_stream(may_repeat)
+        if outcome.status >= 500 and may_repeat:
+            return self._retry_or_fail(may_repeat)
         if self._exchange.started:
-            return _Next.FAIL
+            return _NextStep.FAIL
         if outcome.status in (408, 421, 429, 503):
-            # These statuses promise that nothing ran, and the target did not say so.
-            return _Next.FAIL
-        await self._sink.deliver()
-        return _Next.DONE
-
-    def _end_stream(self, more):
-        if not self._sink.is_whole():
-            return self._decide_again(more)
+            # To the caller these statuses mean that the request did not run. The
+            # target did not state that, so they are not forwarded.
+            return _NextStep.FAIL
+        await self._sink.send_buffered()
+        return _NextStep.DONE
+
+    def _finish_stream(self, may_repeat):
+        if not self._sink.is_complete():
+            return self._retry_or_fail(may_repeat)
         if not self._exchange.started:
-            # A stream without an event is none.
-            return self._decide_again(more)
+            # A stream that ends without any event counts as failed.
+            return self._retry_or_fail(may_repeat)
         self._exchange.finish()
-        return _Next.DONE
+        return _NextStep.DONE
 
-    def _decide_again(self, more):
-        left_s = self._ends_at - time.monotonic()
-        if more and left_s > LEAST_LEFT_S:
+    def _retry_or_fail(self, may_retry):
+        left_s = self._deadline_at - time.monotonic()
+        if may_retry and left_s > MIN_ATTEMPT_S:
             self._metrics.count_retry()
-            return _Next.AGAIN
-        return _Next.FAIL
+            return _NextStep.RETRY
+        return _NextStep.FAIL
 
-    async def _refuse(self, why):
-        """Refuse a request that has not run."""
+    async def _refuse(self, reason):
+        """Answer that the request did not run; return the outcome for the log."""
         if self._progress.runs or self._exchange.started:
-            return await self._fail(why)
-        line = self._admission.describe(self._service)
+            return await self._fail(reason)
+        queue_state = self._admission.get_queue_state(self._service)
         refusal = verdict.Refusal(
             503,
             "busy",
             "All targets are busy. Come back after the time in Retry-After.",
-            retry_after=load_shedding.make_retry_after(line),
+            retry_after=load_shedding.make_retry_after(queue_state),
         )
         self._status = 503
         await self._exchange.refuse(refusal)
-        return why
+        return reason
 
-    async def _fail(self, why):
-        """End a request that may have run, or that found no target."""
+    async def _fail(self, reason):
+        """End a request that no target completed; return the outcome for the log."""
         if self._exchange.started:
             self._exchange.abort()
-            return f"broken_off_{why}"
+            return f"broken_off_{reason}"
         if not self._progress.runs:
-            return await self._refuse(why)
+            return await self._refuse(reason)
         self._status = 502
         await self._exchange.refuse(
             verdict.Refusal(
@@ -295,10 +316,10 @@
                 verdict.Verdict.MAY_HAVE_RUN,
             )
         )
-        return why
+        return reason
 
-    async def expire(self):
-        """End a request whose time is up."""
+    async def on_timeout(self):
+        """End a request at its deadline; return the outcome for the log."""
         if self._exchange.started:
             self._exchange.abort()
             return "timeout_midway"
@@ -308,53 +329,59 @@
         await self._exchange.refuse(verdict.make_expired(verdict.Verdict.MAY_HAVE_RUN))
         return "timeout"
 
-    def _is_in_time(self, first_s, took_s):
-        """Return whether the caller got its answer within the objective."""
+    def _meets_objective(self, first_event_s, total_s):
+        """Return whether the caller was answered within the route's objective."""
         if self._status != 200 or not self._exchange.finished:
             return False
         if self._route.kind != route.Kind.STREAM:
-            return took_s <= self._route.objective_s
-        return first_s is not None and first_s <= self._route.objective_s
+            return total_s <= self._route.objective_s
+        return first_event_s is not None and first_event_s <= self._route.objective_s
+
+    def log_end(self, event, outcome, version):
+        """Log the end of the request and count it in the metrics.
 
-    def note(self, name, why, version):
-        """Log the end of the request."""
+        Args:
+            event: Name of the event in the log.
+            outcome: Short reason of the end.
+            version: Version of the configuration that the route is from.
+        """
         now = time.monotonic()
         received_at = self._exchange.received_at
-        first_at = self._sink.first_at
-        line = self._admission.describe(self._service)
-        place = self._place
+        first_event_at = self._sink.first_event_at
+        queue_state = self._admission.get_queue_state(self._service)
+        slot = self._slot
         waited_s = None if self._sent_at is None else self._sent_at - received_at
-        first_s = None if first_at is None else first_at - received_at
+        first_event_s = None if first_event_at is None else first_event_at - received_at
         phases = {
             "queue": waited_s,
-            "first_event": first_s,
-            "pause": self._sink.longest_pause_s,
+            "first_event": first_event_s,
+            "pause": self._sink.longest_gap_s,
             "whole": now - received_at,
         }
-        self._metrics.count_request(self._route.kind, why, self._status, phases)
+        self._metrics.count_request(self._route.kind, outcome, self._status, phases)
         decision.log_request_event(
-            name,
+            event,
             self._call.request_id,
-            outcome=why,
+            outcome=outcome,
             status=self._status,
             route=self._route.name,
             workspace=None if self._workspace is None else self._workspace.name,
             kind=self._route.kind,
             service=self._service,
-            in_time=self._is_in_time(first_s, now - received_at),
-            target=None if place is None else place.target.id,
-            seen_online=None if place is None else place.online,
-            seen_batch=None if place is None else place.batch,
-            slots=None if place is None else place.target.slots,
+            in_time=self._meets_objective(first_event_s, now - received_at),
+            target=None if slot is None else slot.target.id,
+            seen_online=None if slot is None else slot.online_at_start,
+            seen_batch=None if slot is None else slot.batch_at_start,
+            slots=None if slot is None else slot.target.slots,
             runs=self._progress.runs,
             refusals=self._progress.refusals,
             events=self._sink.events,
             waited_s=waited_s,
-            first_s=first_s,
-            pause_s=self._sink.longest_pause_s,
+            first_s=first_event_s,
+            pause_s=self._sink.longest_gap_s,
             took_s=now - received_at,
             configuration=version,
-            free=line.free,
-            places=line.places,
-            waiting=line.waiting,
+            free=queue_state.free,
+            places=queue_state.places,
+            waiting=queue_state.waiting,
         )
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -1,106 +1,118 @@
-"""The answer of a target on its way to a caller."""
+"""Forwarding of a target's response to the caller."""
 
 import time
 
 from pimentowick.gateway import event, upstream
 from pimentowick.platform import message
 
-__all__ = ["Sink"]
+__all__ = ["CallerSink"]
 
 
-class Sink(upstream.Sink):
-    """Passes the answer of a target on to the caller.
+class CallerSink(upstream.Sink):
+    """Forwards the response of a target to the caller.
 
-    Events go on as they come. A plain answer is whole here before its first byte
-    goes on, so that one that breaks off can be asked for again.
+    The events of a stream are forwarded as they arrive. Any other response is buffered
+    until it is complete, so that a truncated one can be requested from another target.
 
     Args:
         exchange: The `exchange.Exchange`.
-        streaming: Whether the answer is a series of events.
+        is_stream: Whether the route streams events.
+
+    Attributes:
+        status: Status of the response, 0 before its headers arrive.
+        headers: Its headers, or None.
+        buffered: Chunks of a body that is not forwarded as events.
+        forwards_events: Whether events are forwarded as they arrive.
+        out_of_order: Whether the current target sent an event out of order.
+        last_event_id: Identifier of the last event forwarded, from any target.
+        events: Number of events forwarded.
+        first_event_at: Monotonic time at which the first event was forwarded, or None.
+        longest_gap_s: Longest time between two forwarded events in seconds, or None.
     """
 
-    def __init__(self, exchange, streaming):
+    def __init__(self, exchange, is_stream):
         self._exchange = exchange
-        self._streaming = streaming
-        self.last_event = None
+        self._is_stream = is_stream
+        self.last_event_id = None
         self.events = 0
-        self.first_at = None
-        self.longest_pause_s = None
-        self._passed_at = None
-        self.begin()
+        self.first_event_at = None
+        self.longest_gap_s = None
+        self._last_forwarded_at = None
+        self.reset()
 
-    def begin(self):
-        """Get ready for the answer of the next target."""
+    def reset(self):
+        """Discard the state of the last target before the next attempt."""
         self.status = 0
         self.headers = None
-        self.held = []
-        self.passing = False
+        self.buffered = []
+        self.forwards_events = False
         self.out_of_order = False
         self._splitter = event.EventSplitter()
 
     async def take_head(self, status, headers, answer):
-        """Take the head; see `upstream.Sink`."""
+        """Store status and headers; see `upstream.Sink`."""
         self.status = status
         self.headers = headers
-        self.passing = (
-            self._streaming and status == 200 and answer.signed and not answer.encoded
+        self.forwards_events = (
+            self._is_stream and status == 200 and answer.signed and not answer.encoded
         )
 
     async def take_chunk(self, chunk):
-        """Take some bytes; see `upstream.Sink`."""
-        if self.passing:
-            await self._pass_events(chunk)
+        """Forward or buffer part of the body; see `upstream.Sink`."""
+        if self.forwards_events:
+            await self._forward_events(chunk)
             return
-        self.held.append(chunk)
+        self.buffered.append(chunk)
 
-    async def _pass_events(self, chunk):
+    async def _forward_events(self, chunk):
         events = self._splitter.feed(chunk)
-        wanted = [entry for entry in events if self._is_next(entry)]
-        if not wanted:
+        in_order = [received for received in events if self._accept(received)]
+        if not in_order:
             return
-        data = b"".join(entry.raw for entry in wanted)
-        self._note_pause()
+        data = b"".join(received.raw for received in in_order)
+        self._update_gap()
         if not self._exchange.started:
-            self.first_at = time.monotonic()
+            self.first_event_at = time.monotonic()
             headers = message.drop_hop_headers(self.headers)
             headers.pop("Content-Length", None)
             await self._exchange.start(self.status, headers, data)
             return
         await self._exchange.write(data)
 
-    def _note_pause(self):
+    def _update_gap(self):
         now = time.monotonic()
-        if self._passed_at is not None:
-            pause_s = now - self._passed_at
-            self.longest_pause_s = max(self.longest_pause_s or 0.0, pause_s)
-        self._passed_at = now
+        if self._last_forwarded_at is not None:
+            gap_s = now - self._last_forwarded_at
+            self.longest_gap_s = max(self.longest_gap_s or 0.0, gap_s)
+        self._last_forwarded_at = now
 
-    def _is_next(self, entry):
+    def _accept(self, received):
+        """Record an event; return whether it is in order and may be forwarded."""
         if self.out_of_order:
             return False
-        if entry.id is not None:
-            if self._breaks_order(entry.id):
+        if received.id is not None:
+            if self._breaks_order(received.id):
                 self.out_of_order = True
                 return False
-            self.last_event = entry.id
+            self.last_event_id = received.id
         self.events += 1
         return True
 
     def _breaks_order(self, event_id):
-        if self.last_event is None:
+        if self.last_event_id is None:
             return False
         try:
-            return int(event_id) != int(self.last_event) + 1
+            return int(event_id) != int(self.last_event_id) + 1
         except ValueError:
             return False
 
-    def is_whole(self):
-        """Return whether a stream ended between two events, all in order."""
+    def is_complete(self):
+        """Return whether the stream ended after a complete event, all in order."""
         return self._splitter.is_empty() and not self.out_of_order
 
-    async def deliver(self):
-        """Send what was held, a whole plain answer."""
+    async def send_buffered(self):
+        """Send the buffered response to the caller."""
         headers = message.drop_hop_headers(self.headers)
-        body = b"".join(self.held)
+        body = b"".join(self.buffered)
         headers.pop("Content-Length", None)
         await self._exchange.answer(self.status, headers, body)
--- a/pimentowick/gateway/tests/test_admission.py
+++ b/pimentowick/gateway/tests/test_admission.py
@@ -11,58 +11,59 @@
     return admission.Admission(table, "a"), table.by_id["t"]
 
 
-def make_demand(wait_s):
+def make_slot_request(wait_s):
     now = time.monotonic()
     return admission.SlotRequest("s", (0, 0), now + wait_s, now + wait_s)
 
 
 def test_place_that_comes_as_the_wait_ends_is_not_lost():
-    # The host has no processor time for a moment. When the process runs again, a
-    # place is free and the wait is over in the same turn. A place that is given then
-    # and that nobody takes would be missing until the process ends.
+    # A slot granted in the event loop iteration in which the wait times out must not
+    # leak: it would count as taken until the process ends.
     async def run():
-        line, found = make_admission()
-        held = line.take_now(make_demand(1.0))
-        waiting = asyncio.create_task(line.wait(make_demand(0.05)))
+        controller, listed = make_admission()
+        held = controller.try_acquire(make_slot_request(1.0))
+        waiting = asyncio.create_task(controller.wait_for_slot(make_slot_request(0.05)))
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
-        # Due before the end of the wait, so that it runs first in the same turn.
-        loop.call_at(loop.time() + 0.04, held.close)
+        # Due before the wait deadline, so that it runs first in the same iteration.
+        loop.call_at(loop.time() + 0.04, held.release)
         time.sleep(0.2)
-        place = await waiting
-        if place is not None:
-            place.close()
-        assert found.online == 0
-        assert line.take_now(make_demand(1.0)) is not None
+        slot = await waiting
+        if slot is not None:
+            slot.release()
+        assert listed.online == 0
+        assert controller.try_acquire(make_slot_request(1.0)) is not None
 
     asyncio.run(run())
 
 
 def test_caller_that_leaves_as_its_place_comes_gives_it_back():
     async def run():
-        line, found = make_admission()
-        held = line.take_now(make_demand(1.0))
-        waiting = asyncio.create_task(line.wait(make_demand(1.0)))
+        controller, listed = make_admission()
+        held = controller.try_acquire(make_slot_request(1.0))
+        waiting = asyncio.create_task(controller.wait_for_slot(make_slot_request(1.0)))
         await asyncio.sleep(0)
-        held.close()
+        held.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert found.online == 0
+        assert listed.online == 0
 
     asyncio.run(run())
 
 
 def test_request_that_avoids_the_only_free_target_holds_up_nobody():
-    # The first in line was turned away by the target whose place is free now.
+    # The first queued request was rejected by the target whose slot is free now.
     async def run():
-        line, found = make_admission()
-        held = line.take_now(make_demand(1.0))
-        first = asyncio.create_task(line.wait(make_demand(0.5), frozenset({"t"})))
-        second = asyncio.create_task(line.wait(make_demand(5.0)))
+        controller, listed = make_admission()
+        held = controller.try_acquire(make_slot_request(1.0))
+        first = asyncio.create_task(
+            controller.wait_for_slot(make_slot_request(0.5), frozenset({"t"}))
+        )
+        second = asyncio.create_task(controller.wait_for_slot(make_slot_request(5.0)))
         await asyncio.sleep(0)
-        held.close()
-        place = await asyncio.wait_for(second, 5)
-        assert place.target is found
+        held.release()
+        slot = await asyncio.wait_for(second, 5)
+        assert slot.target is listed
         assert not first.done()
         first.cancel()
 
@@ -71,32 +72,32 @@
 
 def test_new_request_queues_behind_those_that_wait_elsewhere():
     async def run():
-        line, found = make_admission(slots=4)
-        line.peers_waiting["s"] = 3
-        assert line.take_now(make_demand(1.0)) is None
-        line.peers_waiting["s"] = 0
-        assert line.take_now(make_demand(1.0)).target is found
+        controller, listed = make_admission(slots=4)
+        controller.peers_waiting["s"] = 3
+        assert controller.try_acquire(make_slot_request(1.0)) is None
+        controller.peers_waiting["s"] = 0
+        assert controller.try_acquire(make_slot_request(1.0)).target is listed
 
     asyncio.run(run())
 
 
 def test_request_that_lost_its_target_goes_before_those_that_wait():
-    # A target crashes in the middle of a stream during a wave. Behind all that wait,
-    # the stream's caller would see a pause of seconds.
+    # A target crashes in the middle of a stream during a burst. At the end of the
+    # controller, its caller would wait seconds for the next event.
     async def run():
-        line, found = make_admission(slots=2)
-        line.peers_waiting["s"] = 5
-        lost_target = dataclasses.replace(make_demand(-1.0), lost_target=True)
-        first = line.take_now(lost_target)
-        assert first.target is found
-        held = line.take_now(lost_target)
-        fresh = asyncio.create_task(line.wait(make_demand(5.0)))
+        controller, listed = make_admission(slots=2)
+        controller.peers_waiting["s"] = 5
+        restarted = dataclasses.replace(make_slot_request(-1.0), lost_target=True)
+        first = controller.try_acquire(restarted)
+        assert first.target is listed
+        held = controller.try_acquire(restarted)
+        fresh = asyncio.create_task(controller.wait_for_slot(make_slot_request(5.0)))
         await asyncio.sleep(0)
-        late = dataclasses.replace(lost_target, wait_deadline=time.monotonic() + 5.0)
-        again = asyncio.create_task(line.wait(late))
+        late = dataclasses.replace(restarted, wait_deadline=time.monotonic() + 5.0)
+        again = asyncio.create_task(controller.wait_for_slot(late))
         await asyncio.sleep(0)
-        held.close()
-        assert (await asyncio.wait_for(again, 5)).target is found
+        held.release()
+        assert (await asyncio.wait_for(again, 5)).target is listed
         assert not fresh.done()
         fresh.cancel()
 
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -179,7 +179,7 @@
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
         change_keys(site, [KEY, NEW_KEY])
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         assert (await send(site, NEW_KEY)).status == 200
 
     run_with(check)
@@ -189,7 +189,7 @@
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
-        stop_reads(site, gateway).proved_at -= authentication.LOOK_AGE_S
+        stop_reads(site, gateway).proved_at -= authentication.REFRESH_AGE_S
         answer = await send(site, NEW_KEY)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
@@ -202,7 +202,7 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = stop_reads(site, gateway)
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         asked = []
         refresh = feed.refresh
 
@@ -224,7 +224,7 @@
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         before = site.store.calls["/-/log-read"]
         refresh = feed.refresh
         asked = []
@@ -257,7 +257,9 @@
         feed.proved_at = feed.clock() - 5.0
         answer = await send(site, request_id="r2")
         assert answer.status == 503
-        assert float(answer.headers["Retry-After"]) == authentication.AWAY_S
+        assert (
+            float(answer.headers["Retry-After"]) == authentication.RETRY_STORE_OUTAGE_S
+        )
         assert orjson.loads(answer.body)["error"]["verdict"] == "not_run"
         server.events = 0
         assert (await send(site, None, "/open/1", "r3")).status == 200
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -146,7 +146,7 @@
         assert late.headers["Connection"] == "close"
         assert (await task).status == 200
         await draining
-        assert gateway._callers.busy == 0
+        assert gateway._caller_server.active_requests == 0
 
     run_with([server], check)
 
@@ -176,7 +176,7 @@
         callers = [asyncio.create_task(call_on(n)) for n in range(4)]
         await wait_true(lambda: server.running == 4)
         await gateway.drain()
-        assert gateway._callers.busy == 0
+        assert gateway._caller_server.active_requests == 0
         ended.set()
         await asyncio.gather(*callers)
         assert set(statuses) <= {200, verdict.Verdict.NOT_RUN}
@@ -221,7 +221,7 @@
 def test_metrics_page_counts_requests():
     async def check(site, gateway):
         await send(site)
-        address = f"127.0.0.1:{gateway._metrics_page._port}"
+        address = f"127.0.0.1:{gateway._metrics_server._port}"
         answer = await site.client.fetch("GET", address, "/metrics")
         text = answer.body.decode()
         for wanted in (
@@ -252,7 +252,7 @@
     async def check(site, gateway):
         gateway.configuration.current = None
         assert (await send(site)).status == 503
-        address = f"127.0.0.1:{gateway._metrics_page._port}"
+        address = f"127.0.0.1:{gateway._metrics_server._port}"
         text = (await site.client.fetch("GET", address, "/metrics")).body.decode()
         assert 'refusals_total{code="not_ready",verdict="not_run"} 1' in text
 
@@ -303,7 +303,7 @@
     sink = decision._Sink(writing, clock=lambda: now)
     for _ in range(3 * decision.BURST_LINES):
         sink.write("x" * 200 + "\n")
-    assert sink.dropped > 0
+    assert sink.unreported_dropped > 0
     os.set_blocking(reading, False)
     while True:
         try:
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -111,11 +111,11 @@
 def test_metrics_name_a_few_workspaces_only():
     metrics = metric.Metrics()
     refusal = verdict.Refusal(429, "rate_limit", "Come back later.")
-    for number in range(metric.NAMED_WORKSPACES + 5):
+    for number in range(metric.MAX_NAMED_WORKSPACES + 5):
         metrics.count_refusal(refusal, f"w{number}")
     page = metrics.render()[0].decode()
     lines = [line for line in page.splitlines() if "workspace_refusals_total{" in line]
-    assert len(lines) == metric.NAMED_WORKSPACES + 1
+    assert len(lines) == metric.MAX_NAMED_WORKSPACES + 1
     others = [line for line in lines if metric.OTHER_WORKSPACES in line]
     assert len(others) == 1 and others[0].endswith(" 5")
 
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -108,7 +108,7 @@
         address = f"127.0.0.1:{platform_site.find_port()}"
         server = exchange.Server(address, answer, lambda: limits)
         await server.start()
-        watch = asyncio.create_task(server.close_slow())
+        watch = asyncio.create_task(server.close_slow_connections())
         reader, writer = await asyncio.open_connection("127.0.0.1", server._port)
         try:
             async with asyncio.timeout(20):
