--- a/pimentowick/gateway/tests/test_admission.py
+++ b/pimentowick/gateway/tests/test_admission.py
@@ -16,7 +16,7 @@
     return admission.SlotRequest("s", (0, 0), now + wait_s, now + wait_s)
 
 
-def test_place_that_comes_as_the_wait_ends_is_not_lost():
+def test_slot_granted_as_the_wait_times_out_is_not_lost():
     # A slot granted in the event loop iteration in which the wait times out must not
     # leak: it would count as taken until the process ends.
     async def run():
@@ -37,7 +37,7 @@
     asyncio.run(run())
 
 
-def test_caller_that_leaves_as_its_place_comes_gives_it_back():
+def test_caller_that_leaves_as_its_slot_is_granted_releases_it():
     async def run():
         controller, listed = make_admission()
         held = controller.try_acquire(make_slot_request(1.0))
@@ -51,7 +51,7 @@
     asyncio.run(run())
 
 
-def test_request_that_avoids_the_only_free_target_holds_up_nobody():
+def test_request_that_avoids_the_only_free_target_does_not_block_others():
     # The first queued request was rejected by the target whose slot is free now.
     async def run():
         controller, listed = make_admission()
@@ -70,7 +70,7 @@
     asyncio.run(run())
 
 
-def test_new_request_queues_behind_those_that_wait_elsewhere():
+def test_new_request_queues_behind_those_at_other_entries():
     async def run():
         controller, listed = make_admission(slots=4)
         controller.peers_waiting["s"] = 3
@@ -81,7 +81,7 @@
     asyncio.run(run())
 
 
-def test_request_that_lost_its_target_goes_before_those_that_wait():
+def test_request_that_lost_its_target_precedes_queued_requests():
     # A target crashes in the middle of a stream during a burst. At the end of the
     # controller, its caller would wait seconds for the next event.
     async def run():
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -52,7 +52,7 @@
 
 
 async def send_raw(site, lines):
-    """Send a request whose headers are given as they stand; return its status."""
+    """Send a request with raw header lines; return the status of the response."""
     host, _, port = site.gateways[0].settings.callers_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = [
@@ -73,13 +73,13 @@
 
 
 def change_keys(site, keys):
-    """Give the first workspace other keys."""
+    """Replace the keys of the first workspace."""
     site.tenants = [{**TENANTS[0], "api_keys": keys}, *TENANTS[1:]]
     site.publish(ROUTES)
 
 
 def stop_reads(site, gateway):
-    """Let the store serve everything but the reads of the configuration."""
+    """Make reads of the configuration fail while the store serves all else."""
     feed = gateway._feeds["configuration"]
 
     async def fail(wait_s):
@@ -160,7 +160,7 @@
     run_with(check, tenants=None)
 
 
-def test_key_that_was_taken_away_is_out_of_force():
+def test_revoked_key_is_refused():
     async def check(site, server):
         gateway = site.gateways[0]
         change_keys(site, ["k3y-second"])
@@ -171,9 +171,9 @@
     run_with(check)
 
 
-def test_key_that_was_given_just_now_is_looked_for_before_it_is_refused():
-    # The configuration here is older than the key. A 401 would be wrong, and callers
-    # don't come again after one.
+def test_new_key_is_looked_up_in_the_store_before_it_is_refused():
+    # The entry's configuration is older than the key. Callers do not retry after a
+    # 401, so the entry refreshes the configuration first.
     async def check(site, server):
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
@@ -197,7 +197,7 @@
     run_with(check)
 
 
-def test_unknown_keys_do_not_press_a_store_that_refuses_at_once():
+def test_unknown_keys_do_not_overload_a_store_that_fails_at_once():
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -219,7 +219,7 @@
     run_with(check)
 
 
-def test_many_unknown_keys_share_one_look_at_the_store():
+def test_concurrent_unknown_keys_share_one_refresh():
     async def check(site, server):
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
@@ -245,9 +245,9 @@
     run_with(check)
 
 
-def test_entry_that_hears_nothing_of_the_store_refuses_keys_in_time():
-    # A key may have been taken away since the store was asked last. Public requests go
-    # on, and what is refused has not run.
+def test_entry_that_cannot_reach_the_store_refuses_keys_in_time():
+    # The key may have been revoked since the configuration was last confirmed. Public
+    # requests without a key are still served; refused requests have not run.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -263,7 +263,7 @@
         assert orjson.loads(answer.body)["error"]["verdict"] == "not_run"
         server.events = 0
         assert (await send(site, None, "/open/1", "r3")).status == 200
-        # With a key, which may be out of force, it is refused there as well.
+        # A request with a key that may be revoked is refused on a public route, too.
         assert (await send(site, KEY, "/open/1", "r4")).status == 503
         assert (await submit(site, KEY)).status == 503
         assert "r2" not in server.runs
@@ -271,9 +271,9 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_suspended_host_does_not_take_its_configuration_for_new():
-    # The monotonic clock stands still while a host is suspended, and a key is taken
-    # away meanwhile. What was known before is as old as the suspension was long.
+def test_age_of_the_configuration_includes_suspension_of_the_host():
+    # The monotonic clock stops while a host is suspended. The age of the configuration
+    # must include that time, since keys may be revoked during it.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -285,9 +285,9 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_held_read_proves_the_moment_at_which_it_was_asked():
-    # The answer says that there was nothing newer as the store wrote it, and it may
-    # have been on its way for seconds.
+def test_long_poll_proves_freshness_as_of_its_request():
+    # A response may be in transit for seconds, so it proves that the configuration was
+    # current when the request was sent, not when the response arrived.
     async def check(site, server):
         feed = site.gateways[0]._feeds["configuration"]
         site.gateways[0]._supervisor.stop_child("feed configuration")
@@ -301,7 +301,8 @@
 
 
 def test_entry_that_alone_lost_the_store_sends_callers_elsewhere_in_time():
-    # Others can serve its callers; the balancer needs two seconds to notice.
+    # The load balancer needs two seconds to notice, so the entry becomes unready
+    # before its configuration is too old.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -318,7 +319,7 @@
     lines = []
 
     async def check(site, server):
-        # Added late: a gateway's start sets up the log of the process.
+        # Starting a gateway resets the log handlers, so this one is added afterwards.
         handler = logger.add(lines.append, level=0, format="{extra}")
         try:
             await send(site)
@@ -360,7 +361,7 @@
     return await site.call(method, path, Authorization=f"Token {key}")
 
 
-def test_job_of_another_workspace_is_as_one_that_never_was():
+def test_job_of_another_workspace_looks_unknown():
     async def check(site, server):
         assert (await submit(site, KEY)).status == 202
         never = await call_job(site, KEY, path="/-/lots/never?after=0")
@@ -387,7 +388,7 @@
     run_with(check)
 
 
-def test_job_lives_on_when_its_key_is_taken_away():
+def test_job_continues_when_its_key_is_revoked():
     async def check(site, server):
         gateway = site.gateways[0]
         server.gap_s = 0.1
@@ -419,8 +420,8 @@
 
 
 def test_jobs_that_come_to_two_entries_at_once_keep_the_limit_together():
-    # Each entry finds room for one of two large jobs. Both accepted, the limit is
-    # passed by the whole of one.
+    # Each entry has room for one more large job under the limit. If both accepted one,
+    # the workspace would exceed its limit by a whole job.
     async def check(site, server):
         server.gap_s = 5.0
         answers = await asyncio.gather(
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -45,9 +45,9 @@
     run_with(servers, check)
 
 
-def test_targets_that_lapsed_while_the_store_was_away_get_time():
-    # The store was away, and the entries of all targets ran out meanwhile. Dropped at
-    # once, sound targets would be without work until they have registered again.
+def test_targets_that_expired_during_a_store_outage_are_kept():
+    # Registrations expire during a store outage. Targets must be kept for a while after
+    # it, since healthy ones need time to register again.
     server = replica.Replica()
 
     async def check(site, gateway):
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "value", [b"\xff\x00", b"[]", b'{"service": 1}', b'{"service": "lm", "slots": 0}']
 )
-def test_entry_that_cannot_be_read_harms_no_other(value):
+def test_invalid_registration_does_not_affect_others(value):
     server = replica.Replica()
 
     async def check(site, gateway):
@@ -107,7 +107,7 @@
 
 
 def test_entry_is_not_ready_without_the_store():
-    # A new entry that knows neither routes nor targets must not get callers.
+    # An entry without routes and targets must not receive requests.
     async def run():
         settings = platform_site.make_settings("127.0.0.1:9")
         gateway = daemon.Gateway(settings, platform_site.find_port())
@@ -130,9 +130,9 @@
     run_with([replica.Replica()], check)
 
 
-def test_planned_stop_finishes_what_is_under_way():
-    # The balancer notices seconds after the stop that an entry is not ready. What
-    # comes until then is served, and nothing is cut.
+def test_planned_stop_finishes_requests_in_flight():
+    # The load balancer needs seconds to remove an unready entry. Requests that arrive
+    # until then are served and no response is truncated.
     server = replica.Replica(events=30, gap_s=0.02)
 
     async def check(site, gateway):
@@ -152,8 +152,8 @@
 
 
 def test_planned_stop_takes_no_request_that_it_would_cut():
-    # Too few other entries are ready, so the balancer goes on sending callers here.
-    # A stream that begins just before the end of the grace time would be cut.
+    # With too few ready entries the load balancer keeps sending requests to this one. A
+    # stream that starts just before the end of the grace period would be truncated.
     server = replica.Replica(events=30, gap_s=0.02)
 
     async def check(site, gateway):
@@ -161,7 +161,7 @@
         statuses = []
 
         async def call_on(begin):
-            # One after the other, so that there is always one under way.
+            # Sequential requests, so that one is in flight at any time.
             await asyncio.sleep(0.15 * begin)
             number = 0
             while not ended.is_set():
@@ -169,7 +169,7 @@
                 try:
                     statuses.append((await send(site, f"r{number}")).status)
                 except http_client.TransportError as error:
-                    # A connection that was not taken, never an answer that was cut.
+                    # A connection refused or closed unread, not a truncated response.
                     statuses.append(error.verdict)
                     await asyncio.sleep(0.05)
 
@@ -247,8 +247,8 @@
     return float(text.partition(line)[2].split()[0])
 
 
-def test_every_refusal_has_a_line_and_is_counted():
-    # A caller complains about a refusal that no decision on a request has made.
+def test_every_refusal_is_logged_and_counted():
+    # Refusals without a log line of their own must still be traceable.
     async def check(site, gateway):
         gateway.configuration.current = None
         assert (await send(site)).status == 503
@@ -266,9 +266,9 @@
     assert [(each["id"], each["outcome"]) for each in found] == [("r1", "not_ready")]
 
 
-def test_jobs_that_nobody_may_read_any_more_leave_the_store():
-    # The store keeps the newest record of each key for good and takes nothing more
-    # once it is full.
+def test_expired_jobs_are_removed_from_the_store():
+    # The store never expires the newest record of a key and rejects writes once it is
+    # full, so records of expired jobs must be removed.
     batch = platform_site.make_route("/lot/", "batch", run_target_ms=60_000)
 
     async def run():
@@ -294,9 +294,9 @@
     asyncio.run(run())
 
 
-def test_log_blocks_nobody_and_says_what_it_left_out():
-    # Whoever reads the log stops reading. Waiting for it, the entry would stop
-    # serving; the lines that do not fit are counted instead.
+def test_log_does_not_block_and_reports_dropped_lines():
+    # The reader of the log stops reading. A blocking write would stop the entry, so
+    # lines are dropped and counted instead.
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     now = 0.0
@@ -320,15 +320,15 @@
     os.close(writing)
 
 
-def test_target_that_fails_all_it_gets_is_left_alone_for_a_while(monkeypatch):
-    # A target is listed, takes requests at once and answers none: it looks free, and
-    # draws more than its share of them.
+def test_target_that_fails_all_requests_is_ejected(monkeypatch):
+    # A target that accepts requests and answers none looks idle and would attract more
+    # than its share of requests.
     monkeypatch.setattr(outlier_detection, "HALF_LIFE_S", 600.0)
     servers = [replica.Replica(f"i-{n}", gap_s=0.01) for n in range(6)]
     servers[0].plan = [replica.Behaviour("vanish") for _ in range(60)]
 
     async def check(site, gateway):
-        # Its connections alone would let it rest; this is about what it answers.
+        # Clears the pause after connection errors, so that only outlier detection acts.
         bad = gateway.table.by_id["i-0"]
         for number in range(80):
             bad.paused_until = 0.0
@@ -336,7 +336,7 @@
             if bad.ejected:
                 break
         else:
-            raise AssertionError("the target that fails was never let rest")
+            raise AssertionError("the failing target was not ejected after 80 requests")
         others = [found for found in gateway.table.by_id.values() if found is not bad]
         assert not any(found.ejected for found in others)
         before = sum(servers[0].runs.values())
@@ -361,8 +361,8 @@
 
 
 def test_entry_serves_before_it_has_read_all_targets(monkeypatch):
-    # Hundreds of entries return from a loss of power and read thousands of targets, a
-    # page after the other. Waiting for the last page, they serve nobody for seconds.
+    # After a power loss hundreds of entries read thousands of targets, page by page.
+    # Readiness must not wait for the last page, which can take seconds.
     monkeypatch.setattr(platform_store, "PAGE_ITEMS", 1)
 
     async def run():
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -21,7 +21,7 @@
 def run_with(check, tenant, replicas=None, entries=1):
     async def run():
         async with platform_site.open_site(replicas, [CHAT], entries, [tenant]) as site:
-            # Levels grow with the time since the start.
+            # Token buckets fill with the time since the start; skip that time.
             for gateway in site.gateways:
                 gateway.quotas._started_at = float("-inf")
             await wait.wait_for(
@@ -54,7 +54,7 @@
         assert [answer.status for answer in answers] == [200] * 3 + [429] * 2
         refused = answers[-1]
         assert orjson.loads(refused.body)["error"]["verdict"] == "not_run"
-        # One token comes in 100 s; callers are told so, up to a bound.
+        # The next token is due in 100 s; Retry-After is capped at 10 s.
         assert float(refused.headers["Retry-After"]) == pytest.approx(10, abs=0.1)
         assert set(server.runs) == {"r0", "r1", "r2"}
 
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -11,9 +11,9 @@
 
 
 def test_requests_that_wait_as_the_listener_closes_are_answered():
-    # A planned stop closes the listener while connections wait whose requests were
-    # sent already, and others are being read. Each is answered whole: closed after
-    # it was passed on, its caller could not know whether it ran.
+    # Requests on accepted connections must be answered completely when the listener
+    # closes: if a connection closed after its request was handled, the caller could not
+    # tell whether it ran.
     async def run():
         address = f"127.0.0.1:{platform_site.find_port()}"
 
@@ -42,9 +42,9 @@
 
 @pytest.mark.parametrize("turns", range(10))
 def test_request_on_a_connection_that_was_closed_is_not_passed_on(turns):
-    # A planned stop closes idle connections while a request is being read, some turns
-    # of the loop after its last byte came. Passed on, it would run although its
-    # caller sees a connection that closed before it was read.
+    # Idle connections are closed a few event loop iterations after the last byte of a
+    # request arrived. The request must not be handled, since its caller sees a
+    # connection that was closed before the request was read.
     async def run():
         address = f"127.0.0.1:{platform_site.find_port()}"
         passed_on = []
@@ -66,7 +66,7 @@
         try:
             data = await asyncio.wait_for(loop.sock_recv(sock, 4096), 10)
         except ConnectionResetError:
-            # Closed before a byte was read.
+            # The connection was closed before any byte was read.
             data = b""
         assert data.endswith(b"hi") == bool(passed_on)
         sock.close()
@@ -140,8 +140,8 @@
     ],
 )
 def test_request_beyond_the_limits_is_refused_and_not_passed_on(rest, status):
-    # The operator bounds what clients may send. The refusal arrives even though the
-    # client is still sending, and the next request on the connection is served.
+    # The refusal must arrive although the client is still sending, and the next request
+    # on the connection must be served.
     async def check(reader, writer, passed_on):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         head = await reader.readuntil(b"\r\n\r\n")
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /x HT", b"POST /x HTTP/1.1\r\nHo"])
 def test_connection_that_stays_idle_or_is_slow_with_its_headers_is_closed(sent):
-    # Clients that stop, or send a byte now and then, would hold connections for good.
+    # Clients that stall or send slowly would otherwise hold connections indefinitely.
     async def check(reader, writer, passed_on):
         writer.write(sent)
         assert await reader.read() == b""
@@ -185,8 +185,8 @@
     ],
 )
 def test_ambiguous_framing_is_refused(rest):
-    # A server behind this one could see the end of the body elsewhere, and take what
-    # follows for a request of another client.
+    # Request smuggling: a target could see another end of the body and treat the bytes
+    # after it as the request of another client.
     async def check(reader, writer, passed_on):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         answer = await reader.read()
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -51,10 +51,10 @@
 @pytest.mark.parametrize("cut_after", [0, 1, 2])
 @pytest.mark.parametrize("half_event", [False, True])
 def test_resumable_stream_goes_on_at_another_target(cut_after, half_event):
-    # A target crashes in the middle of a stream, perhaps in the middle of an event.
-    # The caller sees every event once, in order, within the one answer.
+    # A target crashes in the middle of a stream, possibly in the middle of an event.
+    # The caller must receive every event once and in order, in one response.
     servers = [replica.Replica("i-1"), replica.Replica("i-2")]
-    # Whichever gets a request first breaks off.
+    # The target that receives the first request truncates its response.
     plan = [replica.Behaviour(cut_after=cut_after, half_event=half_event)]
     servers[0].plan = servers[1].plan = plan
 
@@ -67,8 +67,8 @@
 
 
 def test_stream_that_may_run_once_is_not_sent_again():
-    # The target breaks off after an event. Run again, the draft would be made twice;
-    # the caller must see that the answer is not whole.
+    # The target fails after an event. A retry would run a non-resumable request twice,
+    # so the caller must see an incomplete response instead.
     servers = [replica.Replica(f"i-{n}") for n in range(2)]
     for each in servers:
         each.plan = [replica.Behaviour(cut_after=1)]
@@ -79,7 +79,7 @@
         except http_client.TransportError:
             pass
         else:
-            # The event and the end came together, before any of it was passed on.
+            # The event and the close arrived together, before any byte was forwarded.
             assert answer.status == 502
         assert sum(sum(each.runs.values()) for each in servers) == 1
 
@@ -88,8 +88,8 @@
 
 @pytest.mark.parametrize("kind", ["vanish", "unsigned", "crossed"])
 def test_request_that_may_have_run_is_not_called_refused(kind):
-    # The target takes the request, and no answer that can be used comes back. A 503
-    # would say that the stand was not confirmed, and it may well be.
+    # The target receives the request and returns no valid response. A 503 would state
+    # that the request did not run, but it may have.
     server = replica.Replica(events=0)
     server.plan = [replica.Behaviour(kind)]
 
@@ -107,7 +107,7 @@
 
 
 def test_request_that_did_not_run_goes_to_another_target():
-    # A target is full and says so. The request runs elsewhere, once.
+    # A full target rejects the request, which must then run once at another target.
     servers = [replica.Replica(f"i-{n}", events=0) for n in range(2)]
     servers[0].plan = [replica.Behaviour("refuse")] * 4
 
@@ -123,8 +123,8 @@
 
 
 def test_refusal_says_when_to_come_back():
-    # All targets turn the request away. Nothing ran, and the caller learns when a
-    # new attempt makes sense instead of waiting until its time is over.
+    # All targets reject the request. The caller must get a Retry-After at once instead
+    # of waiting until its deadline.
     server = replica.Replica(events=0)
     server.plan = [replica.Behaviour("refuse")] * 10
 
@@ -137,9 +137,9 @@
     run_with([server], check)
 
 
-def test_second_answer_on_a_connection_reaches_nobody():
-    # A target sends a second answer behind the first. Taken for the answer to the
-    # next request, it would show a caller what belongs to another one.
+def test_unsolicited_response_reaches_no_caller():
+    # A target sends an unsolicited second response. Matched to the next request on the
+    # connection, it would leak one caller's data to another.
     server = replica.Replica(events=0)
     server.plan = [replica.Behaviour("extra") for _ in range(3)]
 
@@ -153,7 +153,7 @@
     run_with([server], check)
 
 
-def test_cut_answer_of_a_repeatable_request_is_asked_for_again():
+def test_truncated_response_of_a_repeatable_request_is_retried():
     servers = [replica.Replica(f"i-{n}", events=0) for n in range(2)]
     servers[0].plan = servers[1].plan = [replica.Behaviour(cut_after=2)]
 
@@ -165,9 +165,9 @@
     run_with(servers, check)
 
 
-def test_target_at_a_reused_address_is_left_alone():
-    # A target is gone and another one has its address, which the listing does not
-    # say yet. It answers that it is another, and gets no more of this work.
+def test_target_at_a_reused_address_gets_no_more_requests():
+    # Another target took over the address of one that is still listed. It rejects
+    # requests for the old identifier and must get no more of them.
     server = replica.Replica("i-1", events=0)
     other = replica.Replica("i-2", events=0)
 
@@ -183,8 +183,8 @@
 
 
 def test_caller_that_leaves_frees_its_target():
-    # A caller gives up in the middle of a stream. The target would go on working
-    # for nobody.
+    # A caller disconnects in the middle of a stream. The target must stop working on
+    # the request.
     server = replica.Replica(events=200, gap_s=0.02)
 
     async def check(site):
@@ -198,8 +198,8 @@
 
 
 def test_request_gets_its_final_answer_at_the_routes_timeout():
-    # A target takes a request and falls silent. The operator wants nobody to wait
-    # longer than the route's timeout; what may have run is not called refused.
+    # A target accepts a request and never responds. At the route's timeout the caller
+    # must get a 504, not a refusal, since the request may have run.
     server = replica.Replica(events=0)
     server.plan = [replica.Behaviour("silent")]
     route = platform_site.make_route("/slow/", "non_idempotent", timeout_ms=300)
@@ -225,7 +225,7 @@
 
 
 def test_unknown_route_and_unknown_configuration_differ():
-    # An entry that knows no configuration cannot say that a route is missing.
+    # An entry without a configuration cannot tell whether a route exists.
     async def check():
         async with platform_site.open_site() as site:
             assert (await send(site, "/none/1")).status == 404
@@ -240,8 +240,8 @@
 
 
 def test_chunked_body_and_other_headers_reach_the_target_unchanged():
-    # What the caller sends in pieces arrives whole; headers that are no business of
-    # the entry pass, and those of the connection stay on it.
+    # A chunked body must arrive complete. End-to-end headers must be forwarded,
+    # hop-by-hop headers must not.
     server = replica.Replica(events=0)
 
     async def check(site):
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize(("limit", "kept"), [(100, 16), (15, 7), (8, 0), (None, 16)])
 def test_idle_connections_stay_within_the_limit_of_the_target(limit, kept):
-    # A target resets connections beyond its limit, also one with a request on it.
+    # A target resets connections beyond its limit, even those with a running request.
     async def check(site):
         gateway = site.gateways[0]
         current = gateway.configuration.current
