--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -344,8 +344,8 @@
     def is_ready(self):
         """Whether online requests can be served.
 
-        Neither the jobs nor the complete list of targets must have been read: both can
-        take seconds over a slow link.
+        This requires neither the jobs nor the complete list of targets, which can take
+        seconds to read over a slow link.
         """
         are_targets_known = self.table.by_id or self._feeds["targets"].end is not None
         return (
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -18,19 +18,19 @@
 KEY = "k3y-of-stands"
 OTHER_KEY = "k3y-of-rivals"
 NEW_KEY = "k3y-of-late"
-TENANTS = [
+WORKSPACES = [
     {"name": "stands", "api_keys": [KEY, "k3y-second"], "priority": 1},
     {"name": "rivals", "api_keys": [OTHER_KEY], "priority": 1},
 ]
-TENANT = "X-Pimentowick-Tenant"
+WORKSPACE_HEADER = "X-Pimentowick-Tenant"
 
 
-def run_with(check, tenants=TENANTS, entries=1, **changes):
+def run_with(check, workspaces=WORKSPACES, entries=1, **changes):
     server = replica.Replica()
 
     async def run():
         async with platform_site.open_site(
-            [server], ROUTES, entries, tenants, **changes
+            [server], ROUTES, entries, workspaces, **changes
         ) as site:
             await check(site, server)
 
@@ -74,7 +74,7 @@
 
 def change_keys(site, keys):
     """Replace the keys of the first workspace."""
-    site.tenants = [{**TENANTS[0], "api_keys": keys}, *TENANTS[1:]]
+    site.tenants = [{**WORKSPACES[0], "api_keys": keys}, *WORKSPACES[1:]]
     site.publish(ROUTES)
 
 
@@ -92,9 +92,9 @@
 def test_target_gets_the_workspace_and_never_the_key():
     async def check(site, server):
         assert (await send(site, X_Pimentowick_Tenant="forged")).status == 200
-        found = {name.lower(): value for name, value in server.headers[0].items()}
-        assert found[TENANT.lower()] == "stands"
-        assert "authorization" not in found
+        headers = {name.lower(): value for name, value in server.headers[0].items()}
+        assert headers[WORKSPACE_HEADER.lower()] == "stands"
+        assert "authorization" not in headers
 
     run_with(check)
 
@@ -144,8 +144,8 @@
         server.events = 0
         assert (await send(site, None, "/open/1")).status == 200
         assert (await send(site, KEY, "/open/1", "r2")).status == 200
-        assert TENANT not in server.headers[0]
-        assert server.headers[1][TENANT] == "stands"
+        assert WORKSPACE_HEADER not in server.headers[0]
+        assert server.headers[1][WORKSPACE_HEADER] == "stands"
         assert "Authorization" not in server.headers[1]
 
     run_with(check)
@@ -157,7 +157,7 @@
         assert (await send(site, KEY, request_id="r2")).status == 200
         assert server.headers[1]["Authorization"] == f"Token {KEY}"
 
-    run_with(check, tenants=None)
+    run_with(check, workspaces=None)
 
 
 def test_revoked_key_is_refused():
@@ -343,7 +343,7 @@
     item = {
         "id": f"item-{job_id}-{key}",
         "path": "/lot/1",
-        "headers": {"Authorization": f"Token {key}", TENANT: "forged"},
+        "headers": {"Authorization": f"Token {key}", WORKSPACE_HEADER: "forged"},
         "body": base64.b64encode(b"text").decode(),
         "tokens": tokens,
     }
@@ -402,9 +402,9 @@
 
         rows = await wait.wait_for(is_listed, 10, 0.02)
         assert rows[0]["state"] == "done"
-        found = server.headers[0]
-        assert found[TENANT] == "stands"
-        assert "Authorization" not in found
+        headers = server.headers[0]
+        assert headers[WORKSPACE_HEADER] == "stands"
+        assert "Authorization" not in headers
 
     run_with(check)
 
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -51,12 +51,12 @@
     server = replica.Replica()
 
     async def check(site, gateway):
-        found = gateway._feeds["targets"]
+        feed = gateway._feeds["targets"]
         site.store.board.place(faults.Order("down"))
-        await wait_true(lambda: found.lost_at is not None)
+        await wait_true(lambda: feed.lost_at is not None)
         site.store.put("keyed.servers", server.id, b"")
         site.store.board.place(faults.Order("clear"))
-        await wait_true(lambda: found.lost_at is None)
+        await wait_true(lambda: feed.lost_at is None)
         assert server.id in gateway.table.by_id
         site.list_replica(server)
         await wait_true(lambda: not gateway._targets._missing_since)
@@ -224,7 +224,7 @@
         address = f"127.0.0.1:{gateway._metrics_server._port}"
         answer = await site.client.fetch("GET", address, "/metrics")
         text = answer.body.decode()
-        for wanted in (
+        for expected in (
             'pimentowick_gateway_requests_total{kind="stream",outcome="answered"',
             'pimentowick_gateway_phase_seconds_count{kind="stream",phase="first_event"}',
             'pimentowick_gateway_store_calls_total{call="join"}',
@@ -233,7 +233,7 @@
             'pimentowick_gateway_targets{state="listed"} 1',
             'pimentowick_gateway_age_seconds{topic="jobs"}',
         ):
-            assert wanted in text
+            assert expected in text
         first = read_counter(text, "store_calls_total", "join")
         await wait_true(lambda: gateway.store.calls["join"] > first)
         again = await site.client.fetch("GET", address, "/metrics")
@@ -257,13 +257,17 @@
         assert 'refusals_total{code="not_ready",verdict="not_run"} 1' in text
 
     lines = []
-    number = logger.add(lambda found: lines.append(found.record["extra"].get("line")))
+    number = logger.add(
+        lambda message: lines.append(message.record["extra"].get("line"))
+    )
     try:
         run_with([replica.Replica()], check)
     finally:
         logger.remove(number)
-    found = [orjson.loads(line) for line in lines if line and "caller.refused" in line]
-    assert [(each["id"], each["outcome"]) for each in found] == [("r1", "not_ready")]
+    events = [orjson.loads(line) for line in lines if line and "caller.refused" in line]
+    assert [(event["id"], event["outcome"]) for event in events] == [
+        ("r1", "not_ready")
+    ]
 
 
 def test_expired_jobs_are_removed_from_the_store():
@@ -277,10 +281,10 @@
             body = orjson.dumps({"items": [{"id": "i", "path": "/lot/1", "body": ""}]})
             await site.call("POST", "/lot/x", body, X_Pimentowick_Request_Id="j")
             jobs = gateway.storage.book.jobs
-            await wait_true(lambda: any(found.results for found in jobs.values()))
+            await wait_true(lambda: any(job.results for job in jobs.values()))
             await wait_true(lambda: not gateway.runner._saving)
-            for found in jobs.values():
-                found.submitted_s = 0.0
+            for job in jobs.values():
+                job.submitted_s = 0.0
             await gateway._retention.remove_old()
             newest = [
                 key
@@ -329,21 +333,21 @@
 
     async def check(site, gateway):
         # Clears the pause after connection errors, so that only outlier detection acts.
-        bad = gateway.table.by_id["i-0"]
+        failing = gateway.table.by_id["i-0"]
         for number in range(80):
-            bad.paused_until = 0.0
+            failing.paused_until = 0.0
             await send(site, f"r{number}")
-            if bad.ejected:
+            if failing.ejected:
                 break
         else:
             raise AssertionError("the failing target was not ejected after 80 requests")
-        others = [found for found in gateway.table.by_id.values() if found is not bad]
-        assert not any(found.ejected for found in others)
+        others = [each for each in gateway.table.by_id.values() if each is not failing]
+        assert not any(each.ejected for each in others)
         before = sum(servers[0].runs.values())
         for number in range(10):
-            bad.paused_until = 0.0
+            failing.paused_until = 0.0
             assert (await send(site, f"s{number}")).status == 200
-        assert bad.ejected
+        assert failing.ejected
         assert sum(servers[0].runs.values()) == before
 
     run_with(servers, check)
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -14,18 +14,20 @@
 LIMIT = quota.Limit(0.01, 1.0)
 
 
-def make_tenant(**changes):
+def make_workspace_settings(**changes):
     return {"name": "stands", "api_keys": [KEY], "priority": 1, **changes}
 
 
-def run_with(check, tenant, replicas=None, entries=1):
+def run_with(check, workspace_settings, replicas=None, entries=1):
     async def run():
-        async with platform_site.open_site(replicas, [CHAT], entries, [tenant]) as site:
+        async with platform_site.open_site(
+            replicas, [CHAT], entries, [workspace_settings]
+        ) as site:
             # Token buckets fill with the time since the start; skip that time.
             for gateway in site.gateways:
                 gateway.quotas._started_at = float("-inf")
             await wait.wait_for(
-                lambda: all(found.quotas.share == 1.0 for found in site.gateways),
+                lambda: all(entry.quotas.share == 1.0 for entry in site.gateways),
                 10,
                 0.01,
             )
@@ -58,36 +60,36 @@
         assert float(refused.headers["Retry-After"]) == pytest.approx(10, abs=0.1)
         assert set(server.runs) == {"r0", "r1", "r2"}
 
-    run_with(check, make_tenant(rate_per_s=0.01, burst=3), [server])
+    run_with(check, make_workspace_settings(rate_per_s=0.01, burst=3), [server])
 
 
 @pytest.mark.parametrize("rate_per_s", [0, None])
 def test_workspace_without_a_rate_has_no_limit(rate_per_s):
-    tenant = make_tenant(burst=1)
+    settings = make_workspace_settings(burst=1)
     if rate_per_s is not None:
-        tenant["rate_per_s"] = rate_per_s
+        settings["rate_per_s"] = rate_per_s
 
     async def check(site):
         for number in range(5):
             assert (await send(site, f"r{number}")).status == 200
 
-    run_with(check, tenant)
+    run_with(check, settings)
 
 
 def test_entries_keep_one_limit_together():
     async def check(site):
         for number in range(4):
             assert (await send(site, f"r{number}")).status == 200
-        known = site.gateways[1].quotas
+        quotas = site.gateways[1].quotas
 
         def is_used_up():
-            found = known._buckets.get("stands")
-            return found is not None and found.level < 1
+            bucket = quotas._buckets.get("stands")
+            return bucket is not None and bucket.level < 1
 
         await wait.wait_for(is_used_up, 10, 0.01)
         assert (await send(site, "late", entry=1)).status == 429
 
-    run_with(check, make_tenant(rate_per_s=0.01, burst=4), entries=2)
+    run_with(check, make_workspace_settings(rate_per_s=0.01, burst=4), entries=2)
 
 
 def test_request_that_no_target_ran_costs_no_quota():
@@ -98,7 +100,7 @@
         assert (await send(site, "r0")).status == 503
         assert site.gateways[0].quotas.take("stands", LIMIT, time.monotonic()) == 0.0
 
-    run_with(check, make_tenant(rate_per_s=0.01, burst=1), [server])
+    run_with(check, make_workspace_settings(rate_per_s=0.01, burst=1), [server])
 
 
 def test_priority_of_the_workspace_goes_before_that_of_the_route():
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -40,17 +40,17 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("turns", range(10))
-def test_request_on_a_connection_that_was_closed_is_not_passed_on(turns):
+@pytest.mark.parametrize("iterations", range(10))
+def test_request_on_a_connection_that_was_closed_is_not_passed_on(iterations):
     # Idle connections are closed a few event loop iterations after the last byte of a
     # request arrived. The request must not be handled, since its caller sees a
     # connection that was closed before the request was read.
     async def run():
         address = f"127.0.0.1:{platform_site.find_port()}"
-        passed_on = []
+        handled = []
 
         async def answer(request):
-            passed_on.append(request)
+            handled.append(request)
             await request.answer(200, httputil.HTTPHeaders(), request.body)
 
         server = exchange.Server(address, answer)
@@ -60,7 +60,7 @@
         sock.setblocking(False)
         await wait.wait_for(lambda: server._idle, 5, 0.005)
         await loop.sock_sendall(sock, REQUEST)
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         server.close_idle()
         try:
@@ -68,7 +68,7 @@
         except ConnectionResetError:
             # The connection was closed before any byte was read.
             data = b""
-        assert data.endswith(b"hi") == bool(passed_on)
+        assert data.endswith(b"hi") == bool(handled)
         sock.close()
         await server.close()
 
@@ -99,10 +99,10 @@
 
 def run_server(check, limits=SMALL):
     async def run():
-        passed_on = []
+        handled = []
 
         async def answer(request):
-            passed_on.append(request)
+            handled.append(request)
             await request.answer(200, httputil.HTTPHeaders(), request.body)
 
         address = f"127.0.0.1:{platform_site.find_port()}"
@@ -112,7 +112,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", server._port)
         try:
             async with asyncio.timeout(20):
-                await check(reader, writer, passed_on)
+                await check(reader, writer, handled)
         finally:
             watch.cancel()
             writer.close()
@@ -142,17 +142,17 @@
 def test_request_beyond_the_limits_is_refused_and_not_passed_on(rest, status):
     # The refusal must arrive although the client is still sending, and the next request
     # on the connection must be served.
-    async def check(reader, writer, passed_on):
+    async def check(reader, writer, handled):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.split()[1] == status
         length = int(head.lower().partition(b"content-length: ")[2].split()[0])
         assert b'"not_run"' in await reader.readexactly(length)
-        assert not passed_on
+        assert not handled
         writer.write(REQUEST)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.split()[1] == b"200"
-        assert len(passed_on) == 1
+        assert len(handled) == 1
 
     run_server(check)
 
@@ -160,10 +160,10 @@
 @pytest.mark.parametrize("sent", [b"", b"POST /x HT", b"POST /x HTTP/1.1\r\nHo"])
 def test_connection_that_stays_idle_or_is_slow_with_its_headers_is_closed(sent):
     # Clients that stall or send slowly would otherwise hold connections indefinitely.
-    async def check(reader, writer, passed_on):
+    async def check(reader, writer, handled):
         writer.write(sent)
         assert await reader.read() == b""
-        assert not passed_on
+        assert not handled
 
     run_server(check, SHORT)
 
@@ -187,24 +187,24 @@
 def test_ambiguous_framing_is_refused(rest):
     # Request smuggling: a target could see another end of the body and treat the bytes
     # after it as the request of another client.
-    async def check(reader, writer, passed_on):
+    async def check(reader, writer, handled):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         answer = await reader.read()
         assert answer == b"" or answer.split()[1] == b"400"
-        assert not passed_on
+        assert not handled
 
     run_server(check)
 
 
 def test_chunked_body_is_joined_and_requests_follow_each_other():
-    async def check(reader, writer, passed_on):
+    async def check(reader, writer, handled):
         body = encode_chunked(b"he", b"llo")
         head = b"POST /x?a=%20b&c HTTP/1.1\r\nHost: h\r\nX-Other: y; z\r\n"
         writer.write((head + b"Transfer-Encoding: chunked\r\n\r\n" + body) * 2)
         for _ in range(2):
             await reader.readuntil(b"\r\n\r\n")
             assert await reader.readexactly(5) == b"hello"
-        assert [each.uri for each in passed_on] == ["/x?a=%20b&c"] * 2
-        assert passed_on[0].headers["X-Other"] == "y; z"
+        assert [each.uri for each in handled] == ["/x?a=%20b&c"] * 2
+        assert handled[0].headers["X-Other"] == "y; z"
 
     run_server(check)
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -41,9 +41,9 @@
         assert answer.status == 200
         assert answer.body == WHOLE
         assert answer.headers["X-Pimentowick-Server-Stamp"] == server.id
-        found = server.headers[0]
-        assert found["X-Pimentowick-Expect-Instance"] == server.id
-        assert 0 < int(found["X-Pimentowick-Deadline-Ms"]) < 4000
+        headers = server.headers[0]
+        assert headers["X-Pimentowick-Expect-Instance"] == server.id
+        assert 0 < int(headers["X-Pimentowick-Deadline-Ms"]) < 4000
 
     run_with([server], check)
 
@@ -260,10 +260,10 @@
         assert b" 200 " in answer.splitlines()[0]
         assert await reader.readexactly(5) == b"\x00\xff\r\n0"
         writer.close()
-        found = server.headers[0]
-        assert found["X-Other"] == "a,b"
-        assert found["Accept"] == "x/y;q=0.5"
-        assert "X-Hop" not in found and "Transfer-Encoding" not in found
+        headers = server.headers[0]
+        assert headers["X-Other"] == "a,b"
+        assert headers["Accept"] == "x/y;q=0.5"
+        assert "X-Hop" not in headers and "Transfer-Encoding" not in headers
         assert server.uris == ["/fetch/a%2Fb?q=1&q=%20&r"]
 
     run_with([server], check)
