--- a/pimentowick/gateway/decision.py
+++ b/pimentowick/gateway/decision.py
@@ -17,7 +17,7 @@
 __all__ = ["configure", "count_dropped", "log_event", "log_request_event"]
 
 # Rate limit of the log: a token bucket that holds BURST_LINES.
-LINES_PER_S = 400
+MAX_LINES_PER_S = 400
 BURST_LINES = 800
 
 
@@ -36,7 +36,7 @@
     def write(self, message):
         now = self._clock()
         self._tokens = min(
-            BURST_LINES, self._tokens + (now - self._refilled_at) * LINES_PER_S
+            BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S
         )
         self._refilled_at = now
         if self._tokens < 1 or not self._flush():
--- a/pimentowick/gateway/exchange.py
+++ b/pimentowick/gateway/exchange.py
@@ -27,7 +27,7 @@
 # round trip to the caller and an iteration of a busy event loop.
 ACCEPTED_GRACE_S = 0.25
 # Reason phrases that tornado lacks.
-REASONS = {421: "Misdirected Request"}
+REASON_PHRASES = {421: "Misdirected Request"}
 UNAUTHORIZED = 401
 
 
@@ -75,7 +75,7 @@
         self.started = True
         if self._is_closing():
             headers["Connection"] = "close"
-        reason = REASONS.get(status) or httputil.responses.get(status, "Unknown")
+        reason = REASON_PHRASES.get(status) or httputil.responses.get(status, "Unknown")
         line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
         if self._connection.stream is not None:
             # Nagle's algorithm would delay each small event until the previous one is
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -185,7 +185,7 @@
     run_with(check)
 
 
-def test_unknown_key_is_no_401_while_the_store_can_not_be_asked():
+def test_unknown_key_gets_503_while_the_store_is_unreachable():
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -300,7 +300,7 @@
     run_with(check)
 
 
-def test_entry_that_alone_lost_the_store_sends_callers_elsewhere_in_time():
+def test_entry_that_alone_is_cut_off_becomes_unready_in_time():
     # The load balancer needs two seconds to notice, so the entry becomes unready
     # before its configuration is too old.
     async def check(site, server):
@@ -315,7 +315,7 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_no_key_is_in_the_log():
+def test_keys_are_not_logged():
     lines = []
 
     async def check(site, server):
@@ -378,7 +378,7 @@
     run_with(check)
 
 
-def test_identifier_of_a_job_is_the_workspaces_own():
+def test_identifiers_of_jobs_are_scoped_to_the_workspace():
     async def check(site, server):
         server.gap_s = 5.0
         assert (await submit(site, KEY)).status == 202
@@ -419,7 +419,7 @@
     run_with(check)
 
 
-def test_jobs_that_come_to_two_entries_at_once_keep_the_limit_together():
+def test_concurrent_jobs_at_two_entries_stay_within_one_limit():
     # Each entry has room for one more large job under the limit. If both accepted one,
     # the workspace would exceed its limit by a whole job.
     async def check(site, server):
@@ -432,7 +432,7 @@
     run_with(check, entries=2)
 
 
-def test_entry_without_a_configuration_says_503_and_not_401():
+def test_entry_without_a_configuration_returns_503_and_not_401():
     async def check(site, server):
         site.store.board.place(faults.Order("down"))
         gateway = site.gateways[0]
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -32,7 +32,7 @@
     await wait.wait_for(predicate, 15, 0.01)
 
 
-def test_target_that_leaves_gets_no_new_work():
+def test_target_listed_as_draining_gets_no_new_work():
     servers = [replica.Replica(f"i-{n}") for n in range(2)]
 
     async def check(site, gateway):
@@ -65,7 +65,7 @@
     run_with([server], check)
 
 
-def test_target_that_is_not_listed_is_gone():
+def test_unlisted_target_is_removed():
     server = replica.Replica()
 
     async def check(site, gateway):
@@ -120,7 +120,7 @@
     asyncio.run(run())
 
 
-def test_entry_goes_on_while_the_store_is_away():
+def test_entry_serves_during_a_store_outage():
     async def check(site, gateway):
         site.store.board.place(faults.Order("down"))
         await wait_true(lambda: gateway._feeds["targets"].lost_at is not None)
@@ -151,7 +151,7 @@
     run_with([server], check)
 
 
-def test_planned_stop_takes_no_request_that_it_would_cut():
+def test_planned_stop_accepts_no_request_that_it_would_truncate():
     # With too few ready entries the load balancer keeps sending requests to this one. A
     # stream that starts just before the end of the grace period would be truncated.
     server = replica.Replica(events=30, gap_s=0.02)
@@ -185,7 +185,7 @@
     run_with([server], check)
 
 
-def test_settings_are_read_again_and_cut_nothing(tmp_path, monkeypatch):
+def test_reloading_settings_interrupts_no_request(tmp_path, monkeypatch):
     server = replica.Replica(events=20, gap_s=0.02)
 
     async def check(site, gateway):
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -76,7 +76,7 @@
     run_with(check, settings)
 
 
-def test_entries_keep_one_limit_together():
+def test_entries_enforce_one_shared_limit():
     async def check(site):
         for number in range(4):
             assert (await send(site, f"r{number}")).status == 200
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("cut_after", [0, 1, 2])
 @pytest.mark.parametrize("half_event", [False, True])
-def test_resumable_stream_goes_on_at_another_target(cut_after, half_event):
+def test_resumable_stream_continues_at_another_target(cut_after, half_event):
     # A target crashes in the middle of a stream, possibly in the middle of an event.
     # The caller must receive every event once and in order, in one response.
     servers = [replica.Replica("i-1"), replica.Replica("i-2")]
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("kind", ["vanish", "unsigned", "crossed"])
-def test_request_that_may_have_run_is_not_called_refused(kind):
+def test_request_that_may_have_run_is_not_reported_as_refused(kind):
     # The target receives the request and returns no valid response. A 503 would state
     # that the request did not run, but it may have.
     server = replica.Replica(events=0)
