--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -179,7 +179,7 @@
             self.configuration,
             self._feeds["configuration"],
             self.neighbours.list_heard,
-            lambda: self.authentication.is_bounded,
+            lambda: self.authentication.enforces_max_age,
         )
         self._peer_server = exchange.Server(address, self._peer_configuration.answer)
         self._dispatcher = dispatch.Dispatcher(
