--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -10,8 +10,8 @@
 from pimentowick.gateway import (
     admission,
     content,
-    decision,
-    event,
+    decision_log,
+    event_stream,
     job,
     neighbour,
     record,
@@ -135,17 +135,17 @@
 
 def _measure_events(count):
     data = b"".join(b"id: %d\ndata: some words\n\n" % n for n in range(count))
-    return _measure(lambda: event.EventSplitter().feed(data), rounds=50)
+    return _measure(lambda: event_stream.EventSplitter().feed(data), rounds=50)
 
 
 def _measure_lines(count):
     """Return the cost of so many lines of the log, as a request has them."""
     with open(os.devnull, "w", encoding="utf-8") as outside:
-        decision.configure(descriptor=outside.fileno())
+        decision_log.configure(descriptor=outside.fileno())
 
         def write():
             for _ in range(count):
-                decision.log_request_event(
+                decision_log.log_request_event(
                     "online.sent",
                     "51f08a2b3c4d5e6f",
                     attempt=1,
@@ -159,7 +159,9 @@
                 )
 
         # Few enough not to meet the bound on lines a second.
-        return _measure(write, rounds=max(1, decision.BURST_LINES // (8 * count)))
+        return _measure(
+            write, rounds=max(1, decision_log.MAX_BURST_LINES // (8 * count))
+        )
 
 
 def _measure_job_memory(items):
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from pimentowick import exception, verdict
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 from pimentowick.gateway.policy import freshness
 
 __all__ = ["Authentication"]
@@ -121,7 +121,7 @@
             async with asyncio.timeout(REFRESH_TIMEOUT_S):
                 await self._feed.refresh()
         except (TimeoutError, exception.LogError) as error:
-            decision.log_event("configuration.not_read", why=str(error))
+            decision_log.log_event("configuration.not_read", why=str(error))
             self._next_refresh_at = self._feed.clock() + REFRESH_BACKOFF_S
             return False
         return True
@@ -140,7 +140,7 @@
         )
 
     def _log_refusal(self, call, outcome, **fields):
-        decision.log_request_event(
+        decision_log.log_request_event(
             "caller.unidentified",
             call.request_id,
             outcome=outcome,
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -12,7 +12,7 @@
 from pimentowick.gateway import (
     admission,
     authentication,
-    decision,
+    decision_log,
     dispatch,
     exchange,
     feed,
@@ -252,7 +252,7 @@
         self._supervisor.start_child(
             "slow callers", self._caller_server.close_slow_connections
         )
-        decision.log_event(
+        decision_log.log_event(
             "gateway.started", host=self.settings.name, store=self.store.address
         )
 
@@ -282,7 +282,9 @@
         """Leave the load balancer's rotation and finish the requests in flight."""
         began_at = time.monotonic()
         self._draining = True
-        decision.log_event("gateway.draining", busy=self._caller_server.active_requests)
+        decision_log.log_event(
+            "gateway.draining", busy=self._caller_server.active_requests
+        )
         self._caller_server.close_after_response()
         ends_at = began_at + self.settings.stop_grace_s - SHUTDOWN_MARGIN_S
         batch = asyncio.create_task(self._stop_batch_work(ends_at))
@@ -293,7 +295,9 @@
         while self._caller_server.active_requests and time.monotonic() < ends_at:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await batch
-        decision.log_event("gateway.drained", busy=self._caller_server.active_requests)
+        decision_log.log_event(
+            "gateway.drained", busy=self._caller_server.active_requests
+        )
 
     async def _stop_batch_work(self, ends_at):
         """Save the progress of batch items and release the partitions.
@@ -312,7 +316,7 @@
                 await self.ownership.leave()
                 await self._unregister()
         except TimeoutError:
-            decision.log_event("gateway.batch_unsaved")
+            decision_log.log_event("gateway.batch_unsaved")
 
     async def close(self):
         """Close all servers, tasks and connections."""
@@ -323,7 +327,7 @@
         await self._peer_configuration.close()
         self.pools.close()
         await self.store.close()
-        decision.log_event("gateway.stopped")
+        decision_log.log_event("gateway.stopped")
 
     def reload(self):
         """Read the settings file again without interrupting requests.
@@ -333,12 +337,12 @@
         try:
             settings = node.read_settings(node.find_path())
         except exception.SettingsError as error:
-            decision.log_event("settings.unreadable", why=str(error))
+            decision_log.log_event("settings.unreadable", why=str(error))
             return
         changed = settings != self.settings
         self.settings = settings
         self.store.address = settings.store_address
-        decision.log_event("settings.read", changed=changed)
+        decision_log.log_event("settings.read", changed=changed)
 
     @property
     def is_ready(self):
@@ -389,7 +393,7 @@
                     listed.ejected = not listed.ejected
                     event = "target.ejected" if listed.ejected else "target.readmitted"
                     failures = outliers.get(listed.id, 0.0)
-                    decision.log_event(event, target=listed.id, bad=failures)
+                    decision_log.log_event(event, target=listed.id, bad=failures)
                     changed = True
             if changed:
                 self._on_capacity_change()
@@ -406,7 +410,7 @@
                 await self.store.append(ENTRIES_TOPIC, 0, records, None)
                 return
             except exception.LogError as error:
-                decision.log_event("gateway.unannounced", why=str(error))
+                decision_log.log_event("gateway.unannounced", why=str(error))
                 await asyncio.sleep(1.0)
 
     async def _unregister(self):
@@ -414,7 +418,7 @@
         try:
             await self.store.append(ENTRIES_TOPIC, 0, records, None)
         except exception.LogError as error:
-            decision.log_event("gateway.not_withdrawn", why=str(error))
+            decision_log.log_event("gateway.not_withdrawn", why=str(error))
 
     async def _clean_up(self):
         """Remove missing targets and expired jobs periodically, until cancelled."""
@@ -432,7 +436,7 @@
         self.metrics.count_refusal(refusal, request.workspace)
         if refusal.code not in LOGGED_CODES:
             call = message.decode_call(request.headers)
-            decision.log_request_event(
+            decision_log.log_request_event(
                 "caller.refused",
                 call.request_id,
                 outcome=refusal.code,
@@ -463,7 +467,7 @@
             open_requests=self._caller_server.active_requests,
             store_calls=self.store.calls,
             store_bytes=self.store.bytes,
-            dropped_lines=decision.count_dropped(),
+            dropped_lines=decision_log.count_dropped(),
             quota_share=self.quotas.share,
             quota_workspaces=self.quotas.count_buckets(),
         )
@@ -476,11 +480,11 @@
 
 def run():
     """Run an entry until SIGTERM or SIGINT arrives, then drain it."""
-    decision.configure()
+    decision_log.configure()
     try:
         settings = node.read_settings(node.find_path())
     except exception.SettingsError as error:
-        decision.log_event("settings.unreadable", why=str(error))
+        decision_log.log_event("settings.unreadable", why=str(error))
         sys.exit(EXIT_INVALID_SETTINGS)
     asyncio.run(_run(Gateway(settings)))
 
--- a/pimentowick/gateway/decision.py
+++ b/pimentowick/gateway/decision_log.py
@@ -16,9 +16,9 @@
 
 __all__ = ["configure", "count_dropped", "log_event", "log_request_event"]
 
-# Rate limit of the log: a token bucket that holds BURST_LINES.
+# Rate limit of the log: a token bucket that holds MAX_BURST_LINES.
 MAX_LINES_PER_S = 400
-BURST_LINES = 800
+MAX_BURST_LINES = 800
 
 
 class _Sink:
@@ -27,7 +27,7 @@
     def __init__(self, descriptor, clock=time.monotonic):
         self._descriptor = descriptor
         self._clock = clock
-        self._tokens = float(BURST_LINES)
+        self._tokens = float(MAX_BURST_LINES)
         self._refilled_at = clock()
         self._unwritten = b""
         self.unreported_dropped = 0
@@ -36,7 +36,7 @@
     def write(self, message):
         now = self._clock()
         self._tokens = min(
-            BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S
+            MAX_BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S
         )
         self._refilled_at = now
         if self._tokens < 1 or not self._flush():
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -3,7 +3,7 @@
 import time
 
 from pimentowick import exception, verdict
-from pimentowick.gateway import decision, route, workspace
+from pimentowick.gateway import decision_log, route, workspace
 from pimentowick.gateway.policy import quota
 from pimentowick.platform import message
 
@@ -75,7 +75,7 @@
     def _find_route(self, current, request, call):
         matched_route = current.find(request.host, request.path)
         if matched_route is None:
-            decision.log_request_event(
+            decision_log.log_request_event(
                 "online.no_route",
                 call.request_id,
                 outcome="unknown_route",
@@ -110,7 +110,7 @@
         wait_s = self._quotas.take(caller.name, limit, time.monotonic())
         if not wait_s:
             return
-        decision.log_request_event(
+        decision_log.log_request_event(
             "caller.over_quota",
             call.request_id,
             outcome="rate_limit",
--- a/pimentowick/gateway/exchange.py
+++ b/pimentowick/gateway/exchange.py
@@ -10,7 +10,7 @@
 from tornado import httputil, iostream, netutil
 
 from pimentowick import exception, verdict, web
-from pimentowick.gateway import decision, route
+from pimentowick.gateway import decision_log, route
 from pimentowick.platform import message
 
 __all__ = ["Exchange", "Server"]
@@ -260,7 +260,7 @@
             partial_since = {conn: partial_since.get(conn, now) for conn in partial}
             for connection, since in partial_since.items():
                 if now - since > limit_s:
-                    decision.log_event("caller.slow", waited_s=now - since)
+                    decision_log.log_event("caller.slow", waited_s=now - since)
                     connection.stream.close()
 
     def close_idle(self):
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -5,7 +5,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision, event, upstream
+from pimentowick.gateway import decision_log, event_stream, upstream
 from pimentowick.platform import message
 
 __all__ = ["Run", "Sink", "save_last", "send"]
@@ -75,7 +75,7 @@
 
     def __init__(self, transcript):
         self._transcript = transcript
-        self._splitter = event.EventSplitter()
+        self._splitter = event_stream.EventSplitter()
         self.status = 0
         self.events = 0
         self.in_order = True
@@ -142,7 +142,9 @@
         try:
             await made.save(RECORD_TIMEOUT_S)
         except exception.LogError as error:
-            decision.log_request_event("item.unrecorded", made.item.id, why=str(error))
+            decision_log.log_request_event(
+                "item.unrecorded", made.item.id, why=str(error)
+            )
 
 
 async def save_last(made, timeout_s):
@@ -150,7 +152,7 @@
     try:
         await made.save(timeout_s)
     except exception.LogError as error:
-        decision.log_request_event("item.unrecorded", made.item.id, why=str(error))
+        decision_log.log_request_event("item.unrecorded", made.item.id, why=str(error))
 
 
 async def _watch(sending, sink):
--- a/pimentowick/gateway/feed.py
+++ b/pimentowick/gateway/feed.py
@@ -14,7 +14,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 
 __all__ = ["Feed", "Follower"]
 
@@ -147,7 +147,7 @@
         try:
             page = await self.store.read(self.topic, self.part, start, wait_s)
         except exception.LogTruncatedError as error:
-            decision.log_event("feed.gap", topic=self.topic, why=str(error))
+            decision_log.log_event("feed.gap", topic=self.topic, why=str(error))
             await self._load()
             return True
         found = self._take_page(page)
@@ -209,7 +209,7 @@
         self.proved_at = max(self.proved_at, proves_at)
         if self.lost_at is not None:
             lost_s = time.monotonic() - self.lost_at
-            decision.log_event("feed.regained", topic=self.topic, lost_s=lost_s)
+            decision_log.log_event("feed.regained", topic=self.topic, lost_s=lost_s)
             self.lost_at = None
             self.returned_at = time.monotonic()
         self.follower.caught_up()
@@ -217,7 +217,7 @@
     def _note_lost(self, error):
         if self.lost_at is None:
             self.lost_at = time.monotonic()
-            decision.log_event("feed.lost", topic=self.topic, why=str(error))
+            decision_log.log_event("feed.lost", topic=self.topic, why=str(error))
 
     def _tell_changed(self):
         self._changed.set()
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -5,7 +5,7 @@
 import orjson
 
 from pimentowick import exception
-from pimentowick.gateway import decision, feed, route
+from pimentowick.gateway import decision_log, feed, route
 from pimentowick.platform import operator
 
 __all__ = ["ConfigurationFollower", "EntryFollower", "TargetFollower"]
@@ -45,13 +45,13 @@
         try:
             found = operator.decode_configuration(value)
         except exception.ValidationError as error:
-            decision.log_event("configuration.garbled", why=str(error))
+            decision_log.log_event("configuration.garbled", why=str(error))
             return
         if self.current is not None and found.version <= self.current.version:
             return
         self.current = found
         self.record = value
-        decision.log_event(
+        decision_log.log_event(
             "configuration.applied", version=found.version, routes=len(found.routes)
         )
 
@@ -91,7 +91,7 @@
         if record.value:
             registration = operator.decode_target(record.key, record.value)
             if registration is None:
-                decision.log_event("target.garbled", target=record.key)
+                decision_log.log_event("target.garbled", target=record.key)
         if registration is None:
             if record.key in self._table.by_id:
                 self._miss(record.key)
@@ -100,7 +100,7 @@
         known = self._table.by_id.get(record.key)
         self._table.put(registration)
         if known is None or known.registration.leaving != registration.leaving:
-            decision.log_event(
+            decision_log.log_event(
                 "target.listed",
                 target=record.key,
                 service=registration.service,
@@ -123,7 +123,7 @@
         if self.feed.lost_at is not None or now - self.feed.returned_at < RETURN_S:
             return
         for target_id in self._missing_since:
-            decision.log_event("target.gone", target=target_id)
+            decision_log.log_event("target.gone", target=target_id)
             self._table.remove(target_id)
         if self._missing_since:
             self._missing_since.clear()
@@ -150,7 +150,7 @@
             found = orjson.loads(record.value)
             domain, link_mbps = str(found["failure_domain"]), float(found["link_mbps"])
         except (ValueError, TypeError, KeyError) as error:
-            decision.log_event("entry.garbled", entry=record.key, why=str(error))
+            decision_log.log_event("entry.garbled", entry=record.key, why=str(error))
             return
         self._neighbours.meet(record.key, domain, link_mbps)
 
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -18,7 +18,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 
 __all__ = ["Handover"]
 
@@ -67,7 +67,7 @@
                 await self._refresh()
                 self._runner.own(self._runner.owned | (left - held))
                 left = held
-                decision.log_event(
+                decision_log.log_event(
                     "ownership.taken",
                     parts=sorted(self._runner.owned),
                     waits_for=sorted(held),
@@ -81,4 +81,4 @@
         try:
             await self._storage.refresh()
         except exception.LogError as error:
-            decision.log_event("ownership.not_refreshed", why=str(error))
+            decision_log.log_event("ownership.not_refreshed", why=str(error))
--- a/pimentowick/gateway/health.py
+++ b/pimentowick/gateway/health.py
@@ -3,7 +3,7 @@
 import contextlib
 import time
 
-from pimentowick.gateway import decision, upstream
+from pimentowick.gateway import decision_log, upstream
 
 __all__ = ["Health"]
 
@@ -62,7 +62,7 @@
         if outcome.why == "misdirected":
             # Another target has the address; the listing will say so.
             target.paused_until = float("inf")
-            decision.log_event("target.paused", target=target.id, why=outcome.why)
+            decision_log.log_event("target.paused", target=target.id, why=outcome.why)
             return
         if outcome.end == upstream.End.NOT_RUN and outcome.connected:
             target.paused_until = max(target.paused_until, now + FULL_PAUSE_S)
@@ -78,7 +78,7 @@
         target.failures += 1
         pause = min(LAST_PAUSE_S, FIRST_PAUSE_S * 2 ** (target.failures - 1))
         target.paused_until = max(target.paused_until, now + pause)
-        decision.log_event(
+        decision_log.log_event(
             "target.paused",
             target=target.id,
             why=outcome.why,
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -6,7 +6,7 @@
 from tornado import httputil
 
 from pimentowick import exception, verdict
-from pimentowick.gateway import decision, ledger, record, workspace
+from pimentowick.gateway import decision_log, ledger, record, workspace
 from pimentowick.platform import message
 
 __all__ = ["JobApi"]
@@ -122,7 +122,7 @@
         try:
             await self._storage.contents.drop(job_id, references)
         except exception.LogError as error:
-            decision.log_request_event("batch.bodies_kept", job_id, why=str(error))
+            decision_log.log_request_event("batch.bodies_kept", job_id, why=str(error))
 
     async def _refuse_cut_off(self, exchange, job_id):
         """Send a caller on to an entry that reaches the store, before its time is up.
@@ -301,4 +301,4 @@
 
 
 def _note(name, job_id, outcome, **fields):
-    decision.log_request_event(name, job_id, outcome=outcome, **fields)
+    decision_log.log_request_event(name, job_id, outcome=outcome, **fields)
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -18,7 +18,7 @@
 import random
 
 from pimentowick import exception
-from pimentowick.gateway import decision, feed, record
+from pimentowick.gateway import decision_log, feed, record
 from pimentowick.platform import store as platform_store
 
 __all__ = ["Ledger", "NotWrittenError", "UnsettledError"]
@@ -166,7 +166,7 @@
                 await self._flight
                 delay = FIRST_DELAY_S
             except exception.LogError as error:
-                decision.log_event(
+                decision_log.log_event(
                     "ledger.delayed",
                     waiting=len(self._waiting),
                     why=str(error),
--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/neighbour.py
@@ -21,7 +21,7 @@
 
 import orjson
 
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 from pimentowick.gateway.policy import news_relay
 
 __all__ = ["Neighbour", "Neighbours"]
@@ -313,7 +313,7 @@
     def _send_to(self, addresses, data):
         packet = orjson.dumps(data)
         if len(packet) > MAX_BYTES or self._transport is None:
-            decision.log_event("neighbour.not_told", bytes=len(packet))
+            decision_log.log_event("neighbour.not_told", bytes=len(packet))
             return
         for address in addresses:
             ip, _, port = address.rpartition(":")
@@ -329,7 +329,7 @@
                 continue
             if self._is_relayed and self._relay.has_moved(now):
                 chosen = self._relay.get_relay(now)
-                decision.log_event("neighbour.relay", neighbour=chosen)
+                decision_log.log_event("neighbour.relay", neighbour=chosen)
                 self.note_change()
             self._relaying.clear()
             try:
@@ -348,7 +348,7 @@
             else:
                 changed = self._take_bundle(found, reports)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
-            decision.log_event("neighbour.garbled", sender=addr[0], why=str(error))
+            decision_log.log_event("neighbour.garbled", sender=addr[0], why=str(error))
             return
         if changed:
             self._on_news()
@@ -415,7 +415,7 @@
         dropped = False
         for peer in list(self.peers.values()):
             if now - peer.heard_at > SILENT_S and peer.is_busy:
-                decision.log_event("neighbour.silent", neighbour=peer.address)
+                decision_log.log_event("neighbour.silent", neighbour=peer.address)
                 self._replace(peer, {}, {}, {})
                 dropped = True
             if now - peer.heard_at > SILENT_S:
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -14,7 +14,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision, feed, hedging, record
+from pimentowick.gateway import decision_log, feed, hedging, record
 
 __all__ = ["OutcomeLog"]
 
@@ -111,7 +111,7 @@
                 await self._append_waiting()
                 delay = FIRST_DELAY_S
             except exception.LogError as error:
-                decision.log_event(
+                decision_log.log_event(
                     "outcomes.delayed", waiting=len(self._waiting), why=str(error)
                 )
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -12,7 +12,7 @@
 import zlib
 
 from pimentowick import exception
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 from pimentowick.gateway.policy import reachability
 
 __all__ = ["Ownership", "find_part"]
@@ -129,7 +129,7 @@
 
     def _note_failure(self, error):
         if not self._reachability.has_failed:
-            decision.log_event(
+            decision_log.log_event(
                 "ownership.lost_store", parts=sorted(self.parts), why=str(error)
             )
         self._reachability.fail()
@@ -147,7 +147,7 @@
         if not self.parts or self.get_age() < self._lease_s * DOUBT_SHARE:
             return
         self.is_alone = True
-        decision.log_event("ownership.given_up", parts=sorted(self.parts))
+        decision_log.log_event("ownership.given_up", parts=sorted(self.parts))
         self.parts = frozenset()
         self._on_change()
 
@@ -157,7 +157,7 @@
         try:
             await self._store.leave(GROUP, self._member)
         except exception.LogError as error:
-            decision.log_event("ownership.leave_failed", why=str(error))
+            decision_log.log_event("ownership.leave_failed", why=str(error))
 
     async def _renew(self):
         dealt = await self._store.join(
@@ -169,7 +169,7 @@
         self.is_alone = False
         if dealt.parts == self.parts:
             return
-        decision.log_event(
+        decision_log.log_event(
             "ownership.changed",
             generation=dealt.generation,
             parts=sorted(dealt.parts),
--- a/pimentowick/gateway/peer_configuration.py
+++ b/pimentowick/gateway/peer_configuration.py
@@ -19,7 +19,7 @@
 from tornado import httputil
 
 from pimentowick import client, exception
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 
 __all__ = ["PeerConfiguration"]
 
@@ -88,7 +88,9 @@
             KeyError,
         ) as error:
             why = f"{type(error).__name__}: {error}"
-            decision.log_event("configuration.not_asked", neighbour=address, why=why)
+            decision_log.log_event(
+                "configuration.not_asked", neighbour=address, why=why
+            )
             return
         if value is not None:
             self._configuration.take(value)
@@ -116,7 +118,7 @@
         if helped != self._helped:
             self._helped = helped
             name = "configuration.by_neighbour" if helped else "configuration.by_store"
-            decision.log_event(name, age_s=self._get_age(), **fields)
+            decision_log.log_event(name, age_s=self._get_age(), **fields)
 
 
 def _check_age(value):
--- a/pimentowick/gateway/preparation.py
+++ b/pimentowick/gateway/preparation.py
@@ -11,7 +11,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision
+from pimentowick.gateway import decision_log
 
 __all__ = ["Preparation"]
 
@@ -57,7 +57,7 @@
                 self._on_read(job.id, await self._read_once(job, is_new))
                 return
             except exception.LogError as error:
-                decision.log_request_event("batch.not_read", job.id, why=str(error))
+                decision_log.log_request_event("batch.not_read", job.id, why=str(error))
             await asyncio.sleep(delay)
             delay = min(delay * 2, LAST_DELAY_S)
             is_new = False
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -6,7 +6,7 @@
 import time
 
 from pimentowick import verdict
-from pimentowick.gateway import admission, decision, response, route, upstream
+from pimentowick.gateway import admission, decision_log, response, route, upstream
 from pimentowick.gateway.policy import load_shedding
 from pimentowick.platform import message
 
@@ -181,7 +181,7 @@
             queue_state, self._route.objective_s, time_s
         ):
             return None
-        decision.log_request_event(
+        decision_log.log_request_event(
             "online.queued",
             self._call.request_id,
             kind=self._route.kind,
@@ -219,7 +219,7 @@
         )
         self._sent = True
         self._sent_at = time.monotonic()
-        decision.log_request_event(
+        decision_log.log_request_event(
             "online.sent",
             self._call.request_id,
             kind=self._route.kind,
@@ -359,7 +359,7 @@
             "whole": now - received_at,
         }
         self._metrics.count_request(self._route.kind, outcome, self._status, phases)
-        decision.log_request_event(
+        decision_log.log_request_event(
             event,
             self._call.request_id,
             outcome=outcome,
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -2,7 +2,7 @@
 
 import time
 
-from pimentowick.gateway import event, upstream
+from pimentowick.gateway import event_stream, upstream
 from pimentowick.platform import message
 
 __all__ = ["CallerSink"]
@@ -47,7 +47,7 @@
         self.buffered = []
         self.forwards_events = False
         self.out_of_order = False
-        self._splitter = event.EventSplitter()
+        self._splitter = event_stream.EventSplitter()
 
     async def take_head(self, status, headers, answer):
         """Store status and headers; see `upstream.Sink`."""
--- a/pimentowick/gateway/retention.py
+++ b/pimentowick/gateway/retention.py
@@ -3,7 +3,7 @@
 import time
 
 from pimentowick import exception
-from pimentowick.gateway import decision, ownership
+from pimentowick.gateway import decision_log, ownership
 
 __all__ = ["Retention"]
 
@@ -41,6 +41,6 @@
             try:
                 await self._storage.remove(found)
             except exception.LogError as error:
-                decision.log_event("job.not_removed", job=found.id, why=str(error))
+                decision_log.log_event("job.not_removed", job=found.id, why=str(error))
                 return
-            decision.log_request_event("job.removed", found.id, outcome="too_old")
+            decision_log.log_request_event("job.removed", found.id, outcome="too_old")
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -6,7 +6,7 @@
 
 from pimentowick import exception
 from pimentowick.gateway import (
-    decision,
+    decision_log,
     execution,
     ownership,
     preparation,
@@ -176,7 +176,7 @@
             runs.sort(key=lambda run: run.steps_done)
             for run in runs[:count]:
                 self._metrics.count_item("preempted")
-                decision.log_request_event(
+                decision_log.log_request_event(
                     "item.preempted",
                     run.item.id,
                     job=run.job.id,
@@ -249,7 +249,7 @@
                     run.transcript.take_contents(named)
                 except exception.LogError as error:
                     # Its body is dropped once it is listed, which is not read yet.
-                    decision.log_request_event(
+                    decision_log.log_request_event(
                         "item.delayed", run.item.id, why=str(error)
                     )
                     run.not_before = time.monotonic() + FAILURE_PAUSE_S
@@ -285,11 +285,13 @@
             try:
                 await made.give_up(RECORD_TIMEOUT_S)
                 outcome = "route_removed"
-                decision.log_request_event(
+                decision_log.log_request_event(
                     "item.given_up", made.item.id, outcome=outcome
                 )
             except exception.LogError as error:
-                decision.log_request_event("item.delayed", made.item.id, why=str(error))
+                decision_log.log_request_event(
+                    "item.delayed", made.item.id, why=str(error)
+                )
             finally:
                 self._ending.discard(key)
 
@@ -360,7 +362,7 @@
             self._start(run, target)
 
     def _start(self, run, target):
-        decision.log_request_event(
+        decision_log.log_request_event(
             "item.sent",
             run.item.id,
             job=run.job.id,
@@ -384,7 +386,9 @@
                 await work
             except exception.LogError as error:
                 run.not_before = time.monotonic() + FAILURE_PAUSE_S
-                decision.log_request_event("item.delayed", run.item.id, why=str(error))
+                decision_log.log_request_event(
+                    "item.delayed", run.item.id, why=str(error)
+                )
             finally:
                 if run.task is asyncio.current_task():
                     self._release(run)
@@ -441,7 +445,7 @@
         outcome, sink = await execution.send(run, target, self._pools(target))
         self._health.note_outcome(target, outcome)
         self._metrics.count_item(outcome.why)
-        decision.log_request_event(
+        decision_log.log_request_event(
             "item.ran",
             run.item.id,
             job=run.job.id,
@@ -481,7 +485,7 @@
 
     async def _list_dead(self, run, why):
         await run.transcript.give_up(RECORD_TIMEOUT_S)
-        decision.log_request_event(
+        decision_log.log_request_event(
             "item.given_up",
             run.item.id,
             job=run.job.id,
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -8,7 +8,7 @@
 from pimentowick import client as http_client
 from pimentowick import exception, verdict
 from pimentowick.fakes import faults, platform_site, platform_store, replica, wait
-from pimentowick.gateway import daemon, decision
+from pimentowick.gateway import daemon, decision_log
 from pimentowick.gateway.policy import outlier_detection
 from pimentowick.platform import node, operator
 
@@ -304,8 +304,8 @@
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     now = 0.0
-    sink = decision._Sink(writing, clock=lambda: now)
-    for _ in range(3 * decision.BURST_LINES):
+    sink = decision_log._Sink(writing, clock=lambda: now)
+    for _ in range(3 * decision_log.MAX_BURST_LINES):
         sink.write("x" * 200 + "\n")
     assert sink.unreported_dropped > 0
     os.set_blocking(reading, False)
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pimentowick.fakes import faults, platform_site, replica, wait
-from pimentowick.gateway import content, event, job, record
+from pimentowick.gateway import content, event_stream, job, record
 from pimentowick.gateway.tests import test_job_api, test_transcript
 
 BODY_BYTES = 20_000
@@ -48,7 +48,7 @@
         await one.accept()
         made = [await one.open_transcript() for _ in range(20)]
         for each in made:
-            each.add(event.Event(b"", "1", "a"))
+            each.add(event_stream.Event(b"", "1", "a"))
         partition = outside.get_partition("keyed.jobs", 0)
         before = partition.end
         records = [b"record"]
@@ -196,7 +196,7 @@
     async def check(outside, one, other):
         await one.accept()
         made = await one.open_transcript()
-        made.add(event.Event(b"", "1", "a"))
+        made.add(event_stream.Event(b"", "1", "a"))
         one.store.timeout_s = NEVER_S
         listing = made.give_up(5)
         await lose_first_answer(outside, late_s, listing)
--- a/pimentowick/gateway/tests/test_transcript.py
+++ b/pimentowick/gateway/tests/test_transcript.py
@@ -4,7 +4,7 @@
 import pytest
 
 from pimentowick.fakes import faults, wait
-from pimentowick.gateway import content, event, job, record, transcript
+from pimentowick.gateway import content, event_stream, job, record, transcript
 from pimentowick.gateway.tests import writer
 
 
@@ -44,7 +44,7 @@
 
 def add(made, name, first, last):
     for number in range(first, last + 1):
-        assert made.add(event.Event(b"", str(number), f"{name}{number}"))
+        assert made.add(event_stream.Event(b"", str(number), f"{name}{number}"))
 
 
 def test_texts_of_two_runs_that_reach_the_same_event_are_not_joined():
@@ -130,8 +130,8 @@
         await one.accept()
         made = await one.open_transcript()
         add(made, "a", 1, 2)
-        assert not made.add(event.Event(b"", "4", "a4"))
-        assert not made.add(event.Event(b"", "odd", "a"))
+        assert not made.add(event_stream.Event(b"", "4", "a4"))
+        assert not made.add(event_stream.Event(b"", "odd", "a"))
         assert made.last_event == "2"
 
     run_with(check)
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -12,7 +12,7 @@
 import orjson
 
 from pimentowick import exception
-from pimentowick.gateway import content, decision, record
+from pimentowick.gateway import content, decision_log, record
 
 __all__ = ["Transcript", "find_longest"]
 
@@ -152,7 +152,7 @@
             await self._storage.contents.drop(self._job.id, references)
         except exception.LogError as error:
             # They go with the job.
-            decision.log_request_event(
+            decision_log.log_request_event(
                 "item.contents_kept", self.item.id, why=str(error)
             )
 
@@ -196,7 +196,7 @@
             try:
                 pieces[name] = orjson.loads(value)
             except ValueError:
-                decision.log_event("item.piece_garbled", piece=name)
+                decision_log.log_event("item.piece_garbled", piece=name)
     best = ([], [], None)
     for name in pieces:
         chain = _follow_back(pieces, name)
