--- a/pimentowick/gateway/tests/test_admission.py
+++ b/pimentowick/gateway/tests/test_admission.py
@@ -83,7 +83,7 @@
 
 def test_request_that_lost_its_target_precedes_queued_requests():
     # A target crashes in the middle of a stream during a burst. At the end of the
-    # controller, its caller would wait seconds for the next event.
+    # queue, its caller would wait seconds for the next event.
     async def run():
         controller, listed = make_admission(slots=2)
         controller.peers_waiting["s"] = 5
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -383,7 +383,7 @@
 
                 def take_page(records):
                     on_page(records)
-                    raise exception.LogError("The connection fell silent.")
+                    raise exception.LogError("The read timed out after the first page.")
 
                 return await read_newest(topic, part, take_page)
 
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -93,11 +93,11 @@
     asyncio.run(run())
 
 
-SMALL = route.Limits(header_bytes=500, body_bytes=1000, idle_timeout_s=60)
-SHORT = route.Limits(header_timeout_s=0.3, idle_timeout_s=0.6)
+SMALL_LIMITS = route.Limits(header_bytes=500, body_bytes=1000, idle_timeout_s=60)
+SHORT_TIMEOUTS = route.Limits(header_timeout_s=0.3, idle_timeout_s=0.6)
 
 
-def run_server(check, limits=SMALL):
+def run_server(check, limits=SMALL_LIMITS):
     async def run():
         handled = []
 
@@ -127,16 +127,16 @@
 
 
 BIG = b"x" * 600
-LONG = b"Content-Length: 1200\r\n\r\n" + 2 * BIG
-CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BIG, BIG)
+LONG_BODY = b"Content-Length: 1200\r\n\r\n" + 2 * BIG
+LONG_CHUNKED_BODY = b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BIG, BIG)
 
 
 @pytest.mark.parametrize(
     ("rest", "status"),
     [
         (b"X-Long: " + BIG + b"\r\nContent-Length: 2\r\n\r\nhi", b"431"),
-        (LONG, b"413"),
-        (CHUNKED, b"413"),
+        (LONG_BODY, b"413"),
+        (LONG_CHUNKED_BODY, b"413"),
     ],
 )
 def test_request_beyond_the_limits_is_refused_and_not_passed_on(rest, status):
@@ -165,7 +165,7 @@
         assert await reader.read() == b""
         assert not handled
 
-    run_server(check, SHORT)
+    run_server(check, SHORT_TIMEOUTS)
 
 
 @pytest.mark.parametrize(
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -7,12 +7,12 @@
 from pimentowick.fakes import platform_site, replica
 
 STREAM = platform_site.make_route("/chat/", "stream", resumable=True)
-ONCE_STREAM = platform_site.make_route("/draft/", "stream", max_attempts=2)
-PLAIN = platform_site.make_route("/fetch/", "idempotent")
-ONCE = platform_site.make_route("/confirm/", "non_idempotent")
-ROUTES = [STREAM, ONCE_STREAM, PLAIN, ONCE]
+NON_RESUMABLE_STREAM = platform_site.make_route("/draft/", "stream", max_attempts=2)
+IDEMPOTENT = platform_site.make_route("/fetch/", "idempotent")
+NON_IDEMPOTENT = platform_site.make_route("/confirm/", "non_idempotent")
+ROUTES = [STREAM, NON_RESUMABLE_STREAM, IDEMPOTENT, NON_IDEMPOTENT]
 REQUEST_ID = "X-Pimentowick-Request-Id"
-WHOLE = "".join(f"id: {n}\ndata: word {n}\n\n" for n in (1, 2, 3)).encode()
+STREAM_BODY = "".join(f"id: {n}\ndata: word {n}\n\n" for n in (1, 2, 3)).encode()
 
 
 def run_with(replicas, check):
@@ -39,7 +39,7 @@
     async def check(site):
         answer = await send(site, "/chat/1")
         assert answer.status == 200
-        assert answer.body == WHOLE
+        assert answer.body == STREAM_BODY
         assert answer.headers["X-Pimentowick-Server-Stamp"] == server.id
         headers = server.headers[0]
         assert headers["X-Pimentowick-Expect-Instance"] == server.id
@@ -60,7 +60,7 @@
 
     async def check(site):
         answers = [await send(site, "/chat/1", f"r{n}") for n in range(2)]
-        assert [answer.body for answer in answers] == [WHOLE, WHOLE]
+        assert [answer.body for answer in answers] == [STREAM_BODY, STREAM_BODY]
         assert sum(sum(each.runs.values()) for each in servers) == 3
 
     run_with(servers, check)
