--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -18,19 +18,19 @@
 KEY = "k3y-of-stands"
 OTHER_KEY = "k3y-of-rivals"
 NEW_KEY = "k3y-of-late"
-TENANTS = [
+WORKSPACES = [
     {"name": "stands", "api_keys": [KEY, "k3y-second"], "priority": 1},
     {"name": "rivals", "api_keys": [OTHER_KEY], "priority": 1},
 ]
-TENANT = "X-Pimentowick-Tenant"
+WORKSPACE_HEADER = "X-Pimentowick-Tenant"
 
 
-def run_with(check, tenants=TENANTS, entries=1, **changes):
+def run_with(check, workspaces=WORKSPACES, entries=1, **changes):
     server = replica.Replica()
 
     async def run():
         async with platform_site.open_site(
-            [server], ROUTES, entries, tenants, **changes
+            [server], ROUTES, entries, workspaces, **changes
         ) as site:
             await check(site, server)
 
@@ -52,7 +52,7 @@
 
 
 async def send_raw(site, lines):
-    """Send a request whose headers are given as they stand; return its status."""
+    """Send a request with raw header lines; return the status of the response."""
     host, _, port = site.gateways[0].settings.callers_address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = [
@@ -73,13 +73,13 @@
 
 
 def change_keys(site, keys):
-    """Give the first workspace other keys."""
-    site.tenants = [{**TENANTS[0], "api_keys": keys}, *TENANTS[1:]]
+    """Replace the keys of the first workspace."""
+    site.tenants = [{**WORKSPACES[0], "api_keys": keys}, *WORKSPACES[1:]]
     site.publish(ROUTES)
 
 
 def stop_reads(site, gateway):
-    """Let the store serve everything but the reads of the configuration."""
+    """Make reads of the configuration fail while the store serves all else."""
     feed = gateway._feeds["configuration"]
 
     async def fail(wait_s):
@@ -92,9 +92,9 @@
 def test_target_gets_the_workspace_and_never_the_key():
     async def check(site, server):
         assert (await send(site, X_Pimentowick_Tenant="forged")).status == 200
-        found = {name.lower(): value for name, value in server.headers[0].items()}
-        assert found[TENANT.lower()] == "stands"
-        assert "authorization" not in found
+        headers = {name.lower(): value for name, value in server.headers[0].items()}
+        assert headers[WORKSPACE_HEADER.lower()] == "stands"
+        assert "authorization" not in headers
 
     run_with(check)
 
@@ -144,8 +144,8 @@
         server.events = 0
         assert (await send(site, None, "/open/1")).status == 200
         assert (await send(site, KEY, "/open/1", "r2")).status == 200
-        assert TENANT not in server.headers[0]
-        assert server.headers[1][TENANT] == "stands"
+        assert WORKSPACE_HEADER not in server.headers[0]
+        assert server.headers[1][WORKSPACE_HEADER] == "stands"
         assert "Authorization" not in server.headers[1]
 
     run_with(check)
@@ -157,10 +157,10 @@
         assert (await send(site, KEY, request_id="r2")).status == 200
         assert server.headers[1]["Authorization"] == f"Token {KEY}"
 
-    run_with(check, tenants=None)
+    run_with(check, workspaces=None)
 
 
-def test_key_that_was_taken_away_is_out_of_force():
+def test_revoked_key_is_refused():
     async def check(site, server):
         gateway = site.gateways[0]
         change_keys(site, ["k3y-second"])
@@ -171,25 +171,25 @@
     run_with(check)
 
 
-def test_key_that_was_given_just_now_is_looked_for_before_it_is_refused():
-    # The configuration here is older than the key. A 401 would be wrong, and callers
-    # don't come again after one.
+def test_new_key_is_looked_up_in_the_store_before_it_is_refused():
+    # The entry's configuration is older than the key. Callers do not retry after a
+    # 401, so the entry refreshes the configuration first.
     async def check(site, server):
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
         change_keys(site, [KEY, NEW_KEY])
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         assert (await send(site, NEW_KEY)).status == 200
 
     run_with(check)
 
 
-def test_unknown_key_is_no_401_while_the_store_can_not_be_asked():
+def test_unknown_key_gets_503_while_the_store_is_unreachable():
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
-        stop_reads(site, gateway).proved_at -= authentication.LOOK_AGE_S
+        stop_reads(site, gateway).proved_at -= authentication.REFRESH_AGE_S
         answer = await send(site, NEW_KEY)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
@@ -197,12 +197,12 @@
     run_with(check)
 
 
-def test_unknown_keys_do_not_press_a_store_that_refuses_at_once():
+def test_unknown_keys_do_not_overload_a_store_that_fails_at_once():
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = stop_reads(site, gateway)
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         asked = []
         refresh = feed.refresh
 
@@ -219,12 +219,12 @@
     run_with(check)
 
 
-def test_many_unknown_keys_share_one_look_at_the_store():
+def test_concurrent_unknown_keys_share_one_refresh():
     async def check(site, server):
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.proved_at -= authentication.REFRESH_AGE_S
         before = site.store.calls["/-/log-read"]
         refresh = feed.refresh
         asked = []
@@ -245,9 +245,9 @@
     run_with(check)
 
 
-def test_entry_that_hears_nothing_of_the_store_refuses_keys_in_time():
-    # A key may have been taken away since the store was asked last. Public requests go
-    # on, and what is refused has not run.
+def test_entry_that_cannot_reach_the_store_refuses_keys_in_time():
+    # The key may have been revoked since the configuration was last confirmed. Public
+    # requests without a key are still served; refused requests have not run.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -257,11 +257,13 @@
         feed.proved_at = feed.clock() - 5.0
         answer = await send(site, request_id="r2")
         assert answer.status == 503
-        assert float(answer.headers["Retry-After"]) == authentication.AWAY_S
+        assert (
+            float(answer.headers["Retry-After"]) == authentication.RETRY_STORE_OUTAGE_S
+        )
         assert orjson.loads(answer.body)["error"]["verdict"] == "not_run"
         server.events = 0
         assert (await send(site, None, "/open/1", "r3")).status == 200
-        # With a key, which may be out of force, it is refused there as well.
+        # A request with a key that may be revoked is refused on a public route, too.
         assert (await send(site, KEY, "/open/1", "r4")).status == 503
         assert (await submit(site, KEY)).status == 503
         assert "r2" not in server.runs
@@ -269,9 +271,9 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_suspended_host_does_not_take_its_configuration_for_new():
-    # The monotonic clock stands still while a host is suspended, and a key is taken
-    # away meanwhile. What was known before is as old as the suspension was long.
+def test_age_of_the_configuration_includes_suspension_of_the_host():
+    # The monotonic clock stops while a host is suspended. The age of the configuration
+    # must include that time, since keys may be revoked during it.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -283,9 +285,9 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_held_read_proves_the_moment_at_which_it_was_asked():
-    # The answer says that there was nothing newer as the store wrote it, and it may
-    # have been on its way for seconds.
+def test_long_poll_proves_freshness_as_of_its_request():
+    # A response may be in transit for seconds, so it proves that the configuration was
+    # current when the request was sent, not when the response arrived.
     async def check(site, server):
         feed = site.gateways[0]._feeds["configuration"]
         site.gateways[0]._supervisor.stop_child("feed configuration")
@@ -298,8 +300,9 @@
     run_with(check)
 
 
-def test_entry_that_alone_lost_the_store_sends_callers_elsewhere_in_time():
-    # Others can serve its callers; the balancer needs two seconds to notice.
+def test_entry_that_alone_is_cut_off_becomes_unready_in_time():
+    # The load balancer needs two seconds to notice, so the entry becomes unready
+    # before its configuration is too old.
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
@@ -312,11 +315,11 @@
     run_with(check, revoke_s=5.0)
 
 
-def test_no_key_is_in_the_log():
+def test_keys_are_not_logged():
     lines = []
 
     async def check(site, server):
-        # Added late: a gateway's start sets up the log of the process.
+        # Starting a gateway resets the log handlers, so this one is added afterwards.
         handler = logger.add(lines.append, level=0, format="{extra}")
         try:
             await send(site)
@@ -340,7 +343,7 @@
     item = {
         "id": f"item-{job_id}-{key}",
         "path": "/lot/1",
-        "headers": {"Authorization": f"Token {key}", TENANT: "forged"},
+        "headers": {"Authorization": f"Token {key}", WORKSPACE_HEADER: "forged"},
         "body": base64.b64encode(b"text").decode(),
         "tokens": tokens,
     }
@@ -358,7 +361,7 @@
     return await site.call(method, path, Authorization=f"Token {key}")
 
 
-def test_job_of_another_workspace_is_as_one_that_never_was():
+def test_job_of_another_workspace_looks_unknown():
     async def check(site, server):
         assert (await submit(site, KEY)).status == 202
         never = await call_job(site, KEY, path="/-/lots/never?after=0")
@@ -375,7 +378,7 @@
     run_with(check)
 
 
-def test_identifier_of_a_job_is_the_workspaces_own():
+def test_identifiers_of_jobs_are_scoped_to_the_workspace():
     async def check(site, server):
         server.gap_s = 5.0
         assert (await submit(site, KEY)).status == 202
@@ -385,7 +388,7 @@
     run_with(check)
 
 
-def test_job_lives_on_when_its_key_is_taken_away():
+def test_job_continues_when_its_key_is_revoked():
     async def check(site, server):
         gateway = site.gateways[0]
         server.gap_s = 0.1
@@ -399,9 +402,9 @@
 
         rows = await wait.wait_for(is_listed, 10, 0.02)
         assert rows[0]["state"] == "done"
-        found = server.headers[0]
-        assert found[TENANT] == "stands"
-        assert "Authorization" not in found
+        headers = server.headers[0]
+        assert headers[WORKSPACE_HEADER] == "stands"
+        assert "Authorization" not in headers
 
     run_with(check)
 
@@ -416,9 +419,9 @@
     run_with(check)
 
 
-def test_jobs_that_come_to_two_entries_at_once_keep_the_limit_together():
-    # Each entry finds room for one of two large jobs. Both accepted, the limit is
-    # passed by the whole of one.
+def test_concurrent_jobs_at_two_entries_stay_within_one_limit():
+    # Each entry has room for one more large job under the limit. If both accepted one,
+    # the workspace would exceed its limit by a whole job.
     async def check(site, server):
         server.gap_s = 5.0
         answers = await asyncio.gather(
@@ -429,7 +432,7 @@
     run_with(check, entries=2)
 
 
-def test_entry_without_a_configuration_says_503_and_not_401():
+def test_entry_without_a_configuration_returns_503_and_not_401():
     async def check(site, server):
         site.store.board.place(faults.Order("down"))
         gateway = site.gateways[0]
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -8,7 +8,7 @@
 from pimentowick import client as http_client
 from pimentowick import exception, verdict
 from pimentowick.fakes import faults, platform_site, platform_store, replica, wait
-from pimentowick.gateway import daemon, decision
+from pimentowick.gateway import daemon, decision_log
 from pimentowick.gateway.policy import outlier_detection
 from pimentowick.platform import node, operator
 
@@ -32,7 +32,7 @@
     await wait.wait_for(predicate, 15, 0.01)
 
 
-def test_target_that_leaves_gets_no_new_work():
+def test_target_listed_as_draining_gets_no_new_work():
     servers = [replica.Replica(f"i-{n}") for n in range(2)]
 
     async def check(site, gateway):
@@ -45,18 +45,18 @@
     run_with(servers, check)
 
 
-def test_targets_that_lapsed_while_the_store_was_away_get_time():
-    # The store was away, and the entries of all targets ran out meanwhile. Dropped at
-    # once, sound targets would be without work until they have registered again.
+def test_targets_that_expired_during_a_store_outage_are_kept():
+    # Registrations expire during a store outage. Targets must be kept for a while after
+    # it, since healthy ones need time to register again.
     server = replica.Replica()
 
     async def check(site, gateway):
-        found = gateway._feeds["targets"]
+        feed = gateway._feeds["targets"]
         site.store.board.place(faults.Order("down"))
-        await wait_true(lambda: found.lost_at is not None)
+        await wait_true(lambda: feed.lost_at is not None)
         site.store.put("keyed.servers", server.id, b"")
         site.store.board.place(faults.Order("clear"))
-        await wait_true(lambda: found.lost_at is None)
+        await wait_true(lambda: feed.lost_at is None)
         assert server.id in gateway.table.by_id
         site.list_replica(server)
         await wait_true(lambda: not gateway._targets._missing_since)
@@ -65,7 +65,7 @@
     run_with([server], check)
 
 
-def test_target_that_is_not_listed_is_gone():
+def test_unlisted_target_is_removed():
     server = replica.Replica()
 
     async def check(site, gateway):
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "value", [b"\xff\x00", b"[]", b'{"service": 1}', b'{"service": "lm", "slots": 0}']
 )
-def test_entry_that_cannot_be_read_harms_no_other(value):
+def test_invalid_registration_does_not_affect_others(value):
     server = replica.Replica()
 
     async def check(site, gateway):
@@ -107,7 +107,7 @@
 
 
 def test_entry_is_not_ready_without_the_store():
-    # A new entry that knows neither routes nor targets must not get callers.
+    # An entry without routes and targets must not receive requests.
     async def run():
         settings = platform_site.make_settings("127.0.0.1:9")
         gateway = daemon.Gateway(settings, platform_site.find_port())
@@ -120,7 +120,7 @@
     asyncio.run(run())
 
 
-def test_entry_goes_on_while_the_store_is_away():
+def test_entry_serves_during_a_store_outage():
     async def check(site, gateway):
         site.store.board.place(faults.Order("down"))
         await wait_true(lambda: gateway._feeds["targets"].lost_at is not None)
@@ -130,9 +130,9 @@
     run_with([replica.Replica()], check)
 
 
-def test_planned_stop_finishes_what_is_under_way():
-    # The balancer notices seconds after the stop that an entry is not ready. What
-    # comes until then is served, and nothing is cut.
+def test_planned_stop_finishes_requests_in_flight():
+    # The load balancer needs seconds to remove an unready entry. Requests that arrive
+    # until then are served and no response is truncated.
     server = replica.Replica(events=30, gap_s=0.02)
 
     async def check(site, gateway):
@@ -146,14 +146,14 @@
         assert late.headers["Connection"] == "close"
         assert (await task).status == 200
         await draining
-        assert gateway._callers.busy == 0
+        assert gateway._caller_server.active_requests == 0
 
     run_with([server], check)
 
 
-def test_planned_stop_takes_no_request_that_it_would_cut():
-    # Too few other entries are ready, so the balancer goes on sending callers here.
-    # A stream that begins just before the end of the grace time would be cut.
+def test_planned_stop_accepts_no_request_that_it_would_truncate():
+    # With too few ready entries the load balancer keeps sending requests to this one. A
+    # stream that starts just before the end of the grace period would be truncated.
     server = replica.Replica(events=30, gap_s=0.02)
 
     async def check(site, gateway):
@@ -161,7 +161,7 @@
         statuses = []
 
         async def call_on(begin):
-            # One after the other, so that there is always one under way.
+            # Sequential requests, so that one is in flight at any time.
             await asyncio.sleep(0.15 * begin)
             number = 0
             while not ended.is_set():
@@ -169,14 +169,14 @@
                 try:
                     statuses.append((await send(site, f"r{number}")).status)
                 except http_client.TransportError as error:
-                    # A connection that was not taken, never an answer that was cut.
+                    # A connection refused or closed unread, not a truncated response.
                     statuses.append(error.verdict)
                     await asyncio.sleep(0.05)
 
         callers = [asyncio.create_task(call_on(n)) for n in range(4)]
         await wait_true(lambda: server.running == 4)
         await gateway.drain()
-        assert gateway._callers.busy == 0
+        assert gateway._caller_server.active_requests == 0
         ended.set()
         await asyncio.gather(*callers)
         assert set(statuses) <= {200, verdict.Verdict.NOT_RUN}
@@ -185,7 +185,7 @@
     run_with([server], check)
 
 
-def test_settings_are_read_again_and_cut_nothing(tmp_path, monkeypatch):
+def test_reloading_settings_interrupts_no_request(tmp_path, monkeypatch):
     server = replica.Replica(events=20, gap_s=0.02)
 
     async def check(site, gateway):
@@ -221,10 +221,10 @@
 def test_metrics_page_counts_requests():
     async def check(site, gateway):
         await send(site)
-        address = f"127.0.0.1:{gateway._metrics_page._port}"
+        address = f"127.0.0.1:{gateway._metrics_server._port}"
         answer = await site.client.fetch("GET", address, "/metrics")
         text = answer.body.decode()
-        for wanted in (
+        for expected in (
             'pimentowick_gateway_requests_total{kind="stream",outcome="answered"',
             'pimentowick_gateway_phase_seconds_count{kind="stream",phase="first_event"}',
             'pimentowick_gateway_store_calls_total{call="join"}',
@@ -233,7 +233,7 @@
             'pimentowick_gateway_targets{state="listed"} 1',
             'pimentowick_gateway_age_seconds{topic="jobs"}',
         ):
-            assert wanted in text
+            assert expected in text
         first = read_counter(text, "store_calls_total", "join")
         await wait_true(lambda: gateway.store.calls["join"] > first)
         again = await site.client.fetch("GET", address, "/metrics")
@@ -247,28 +247,32 @@
     return float(text.partition(line)[2].split()[0])
 
 
-def test_every_refusal_has_a_line_and_is_counted():
-    # A caller complains about a refusal that no decision on a request has made.
+def test_every_refusal_is_logged_and_counted():
+    # Refusals without a log line of their own must still be traceable.
     async def check(site, gateway):
         gateway.configuration.current = None
         assert (await send(site)).status == 503
-        address = f"127.0.0.1:{gateway._metrics_page._port}"
+        address = f"127.0.0.1:{gateway._metrics_server._port}"
         text = (await site.client.fetch("GET", address, "/metrics")).body.decode()
         assert 'refusals_total{code="not_ready",verdict="not_run"} 1' in text
 
     lines = []
-    number = logger.add(lambda found: lines.append(found.record["extra"].get("line")))
+    number = logger.add(
+        lambda message: lines.append(message.record["extra"].get("line"))
+    )
     try:
         run_with([replica.Replica()], check)
     finally:
         logger.remove(number)
-    found = [orjson.loads(line) for line in lines if line and "caller.refused" in line]
-    assert [(each["id"], each["outcome"]) for each in found] == [("r1", "not_ready")]
+    events = [orjson.loads(line) for line in lines if line and "caller.refused" in line]
+    assert [(event["id"], event["outcome"]) for event in events] == [
+        ("r1", "not_ready")
+    ]
 
 
-def test_jobs_that_nobody_may_read_any_more_leave_the_store():
-    # The store keeps the newest record of each key for good and takes nothing more
-    # once it is full.
+def test_expired_jobs_are_removed_from_the_store():
+    # The store never expires the newest record of a key and rejects writes once it is
+    # full, so records of expired jobs must be removed.
     batch = platform_site.make_route("/lot/", "batch", run_target_ms=60_000)
 
     async def run():
@@ -277,10 +281,10 @@
             body = orjson.dumps({"items": [{"id": "i", "path": "/lot/1", "body": ""}]})
             await site.call("POST", "/lot/x", body, X_Pimentowick_Request_Id="j")
             jobs = gateway.storage.book.jobs
-            await wait_true(lambda: any(found.results for found in jobs.values()))
+            await wait_true(lambda: any(job.results for job in jobs.values()))
             await wait_true(lambda: not gateway.runner._saving)
-            for found in jobs.values():
-                found.submitted_s = 0.0
+            for job in jobs.values():
+                job.submitted_s = 0.0
             await gateway._retention.remove_old()
             newest = [
                 key
@@ -294,16 +298,16 @@
     asyncio.run(run())
 
 
-def test_log_blocks_nobody_and_says_what_it_left_out():
-    # Whoever reads the log stops reading. Waiting for it, the entry would stop
-    # serving; the lines that do not fit are counted instead.
+def test_log_does_not_block_and_reports_dropped_lines():
+    # The reader of the log stops reading. A blocking write would stop the entry, so
+    # lines are dropped and counted instead.
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     now = 0.0
-    sink = decision._Sink(writing, clock=lambda: now)
-    for _ in range(3 * decision.BURST_LINES):
+    sink = decision_log._Sink(writing, clock=lambda: now)
+    for _ in range(3 * decision_log.MAX_BURST_LINES):
         sink.write("x" * 200 + "\n")
-    assert sink.dropped > 0
+    assert sink.unreported_dropped > 0
     os.set_blocking(reading, False)
     while True:
         try:
@@ -320,30 +324,30 @@
     os.close(writing)
 
 
-def test_target_that_fails_all_it_gets_is_left_alone_for_a_while(monkeypatch):
-    # A target is listed, takes requests at once and answers none: it looks free, and
-    # draws more than its share of them.
+def test_target_that_fails_all_requests_is_ejected(monkeypatch):
+    # A target that accepts requests and answers none looks idle and would attract more
+    # than its share of requests.
     monkeypatch.setattr(outlier_detection, "HALF_LIFE_S", 600.0)
     servers = [replica.Replica(f"i-{n}", gap_s=0.01) for n in range(6)]
     servers[0].plan = [replica.Behaviour("vanish") for _ in range(60)]
 
     async def check(site, gateway):
-        # Its connections alone would let it rest; this is about what it answers.
-        bad = gateway.table.by_id["i-0"]
+        # Clears the pause after connection errors, so that only outlier detection acts.
+        failing = gateway.table.by_id["i-0"]
         for number in range(80):
-            bad.paused_until = 0.0
+            failing.paused_until = 0.0
             await send(site, f"r{number}")
-            if bad.ejected:
+            if failing.ejected:
                 break
         else:
-            raise AssertionError("the target that fails was never let rest")
-        others = [found for found in gateway.table.by_id.values() if found is not bad]
-        assert not any(found.ejected for found in others)
+            raise AssertionError("the failing target was not ejected after 80 requests")
+        others = [each for each in gateway.table.by_id.values() if each is not failing]
+        assert not any(each.ejected for each in others)
         before = sum(servers[0].runs.values())
         for number in range(10):
-            bad.paused_until = 0.0
+            failing.paused_until = 0.0
             assert (await send(site, f"s{number}")).status == 200
-        assert bad.ejected
+        assert failing.ejected
         assert sum(servers[0].runs.values()) == before
 
     run_with(servers, check)
@@ -361,8 +365,8 @@
 
 
 def test_entry_serves_before_it_has_read_all_targets(monkeypatch):
-    # Hundreds of entries return from a loss of power and read thousands of targets, a
-    # page after the other. Waiting for the last page, they serve nobody for seconds.
+    # After a power loss hundreds of entries read thousands of targets, page by page.
+    # Readiness must not wait for the last page, which can take seconds.
     monkeypatch.setattr(platform_store, "PAGE_ITEMS", 1)
 
     async def run():
@@ -379,7 +383,7 @@
 
                 def take_page(records):
                     on_page(records)
-                    raise exception.LogError("The connection fell silent.")
+                    raise exception.LogError("The read timed out after the first page.")
 
                 return await read_newest(topic, part, take_page)
 
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -11,9 +11,9 @@
 
 
 def test_requests_that_wait_as_the_listener_closes_are_answered():
-    # A planned stop closes the listener while connections wait whose requests were
-    # sent already, and others are being read. Each is answered whole: closed after
-    # it was passed on, its caller could not know whether it ran.
+    # Requests on accepted connections must be answered completely when the listener
+    # closes: if a connection closed after its request was handled, the caller could not
+    # tell whether it ran.
     async def run():
         address = f"127.0.0.1:{platform_site.find_port()}"
 
@@ -40,17 +40,17 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("turns", range(10))
-def test_request_on_a_connection_that_was_closed_is_not_passed_on(turns):
-    # A planned stop closes idle connections while a request is being read, some turns
-    # of the loop after its last byte came. Passed on, it would run although its
-    # caller sees a connection that closed before it was read.
+@pytest.mark.parametrize("iterations", range(10))
+def test_request_on_a_connection_that_was_closed_is_not_passed_on(iterations):
+    # Idle connections are closed a few event loop iterations after the last byte of a
+    # request arrived. The request must not be handled, since its caller sees a
+    # connection that was closed before the request was read.
     async def run():
         address = f"127.0.0.1:{platform_site.find_port()}"
-        passed_on = []
+        handled = []
 
         async def answer(request):
-            passed_on.append(request)
+            handled.append(request)
             await request.answer(200, httputil.HTTPHeaders(), request.body)
 
         server = exchange.Server(address, answer)
@@ -60,15 +60,15 @@
         sock.setblocking(False)
         await wait.wait_for(lambda: server._idle, 5, 0.005)
         await loop.sock_sendall(sock, REQUEST)
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         server.close_idle()
         try:
             data = await asyncio.wait_for(loop.sock_recv(sock, 4096), 10)
         except ConnectionResetError:
-            # Closed before a byte was read.
+            # The connection was closed before any byte was read.
             data = b""
-        assert data.endswith(b"hi") == bool(passed_on)
+        assert data.endswith(b"hi") == bool(handled)
         sock.close()
         await server.close()
 
@@ -93,26 +93,26 @@
     asyncio.run(run())
 
 
-SMALL = route.Limits(header_bytes=500, body_bytes=1000, idle_timeout_s=60)
-SHORT = route.Limits(header_timeout_s=0.3, idle_timeout_s=0.6)
+SMALL_LIMITS = route.Limits(header_bytes=500, body_bytes=1000, idle_timeout_s=60)
+SHORT_TIMEOUTS = route.Limits(header_timeout_s=0.3, idle_timeout_s=0.6)
 
 
-def run_server(check, limits=SMALL):
+def run_server(check, limits=SMALL_LIMITS):
     async def run():
-        passed_on = []
+        handled = []
 
         async def answer(request):
-            passed_on.append(request)
+            handled.append(request)
             await request.answer(200, httputil.HTTPHeaders(), request.body)
 
         address = f"127.0.0.1:{platform_site.find_port()}"
         server = exchange.Server(address, answer, lambda: limits)
         await server.start()
-        watch = asyncio.create_task(server.close_slow())
+        watch = asyncio.create_task(server.close_slow_connections())
         reader, writer = await asyncio.open_connection("127.0.0.1", server._port)
         try:
             async with asyncio.timeout(20):
-                await check(reader, writer, passed_on)
+                await check(reader, writer, handled)
         finally:
             watch.cancel()
             writer.close()
@@ -127,45 +127,45 @@
 
 
 BIG = b"x" * 600
-LONG = b"Content-Length: 1200\r\n\r\n" + 2 * BIG
-CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BIG, BIG)
+LONG_BODY = b"Content-Length: 1200\r\n\r\n" + 2 * BIG
+LONG_CHUNKED_BODY = b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BIG, BIG)
 
 
 @pytest.mark.parametrize(
     ("rest", "status"),
     [
         (b"X-Long: " + BIG + b"\r\nContent-Length: 2\r\n\r\nhi", b"431"),
-        (LONG, b"413"),
-        (CHUNKED, b"413"),
+        (LONG_BODY, b"413"),
+        (LONG_CHUNKED_BODY, b"413"),
     ],
 )
 def test_request_beyond_the_limits_is_refused_and_not_passed_on(rest, status):
-    # The operator bounds what clients may send. The refusal arrives even though the
-    # client is still sending, and the next request on the connection is served.
-    async def check(reader, writer, passed_on):
+    # The refusal must arrive although the client is still sending, and the next request
+    # on the connection must be served.
+    async def check(reader, writer, handled):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.split()[1] == status
         length = int(head.lower().partition(b"content-length: ")[2].split()[0])
         assert b'"not_run"' in await reader.readexactly(length)
-        assert not passed_on
+        assert not handled
         writer.write(REQUEST)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.split()[1] == b"200"
-        assert len(passed_on) == 1
+        assert len(handled) == 1
 
     run_server(check)
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /x HT", b"POST /x HTTP/1.1\r\nHo"])
 def test_connection_that_stays_idle_or_is_slow_with_its_headers_is_closed(sent):
-    # Clients that stop, or send a byte now and then, would hold connections for good.
-    async def check(reader, writer, passed_on):
+    # Clients that stall or send slowly would otherwise hold connections indefinitely.
+    async def check(reader, writer, handled):
         writer.write(sent)
         assert await reader.read() == b""
-        assert not passed_on
+        assert not handled
 
-    run_server(check, SHORT)
+    run_server(check, SHORT_TIMEOUTS)
 
 
 @pytest.mark.parametrize(
@@ -185,26 +185,26 @@
     ],
 )
 def test_ambiguous_framing_is_refused(rest):
-    # A server behind this one could see the end of the body elsewhere, and take what
-    # follows for a request of another client.
-    async def check(reader, writer, passed_on):
+    # Request smuggling: a target could see another end of the body and treat the bytes
+    # after it as the request of another client.
+    async def check(reader, writer, handled):
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\n" + rest)
         answer = await reader.read()
         assert answer == b"" or answer.split()[1] == b"400"
-        assert not passed_on
+        assert not handled
 
     run_server(check)
 
 
 def test_chunked_body_is_joined_and_requests_follow_each_other():
-    async def check(reader, writer, passed_on):
+    async def check(reader, writer, handled):
         body = encode_chunked(b"he", b"llo")
         head = b"POST /x?a=%20b&c HTTP/1.1\r\nHost: h\r\nX-Other: y; z\r\n"
         writer.write((head + b"Transfer-Encoding: chunked\r\n\r\n" + body) * 2)
         for _ in range(2):
             await reader.readuntil(b"\r\n\r\n")
             assert await reader.readexactly(5) == b"hello"
-        assert [each.uri for each in passed_on] == ["/x?a=%20b&c"] * 2
-        assert passed_on[0].headers["X-Other"] == "y; z"
+        assert [each.uri for each in handled] == ["/x?a=%20b&c"] * 2
+        assert handled[0].headers["X-Other"] == "y; z"
 
     run_server(check)
