--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -20,9 +20,9 @@
     workspace,
 )
 from pimentowick.gateway.policy import (
-    news_relay,
     outlier_detection,
     quota,
+    report_relay,
     target_choice,
 )
 
@@ -58,11 +58,11 @@
     table = _make_table(targets)
     found = neighbour.Neighbours(
         "me:1",
-        news_relay.NewsRelay("me:1", "a", 1000.0),
+        report_relay.ReportRelay("me:1", "a", 1000.0),
         table,
         admission.Admission(table, "a"),
         outlier_detection.OutlierDetection("a"),
-        quota.SharedCount(),
+        quota.SharedQuota(),
         lambda: None,
     )
     numbers = iter(range(1, 1_000_000))
@@ -100,8 +100,8 @@
 def _measure_quota(count):
     """Return the cost of a take while so many workspaces are busy."""
     limit = quota.Limit(1e9, 1e9)
-    found = quota.SharedCount()
-    found.note_members(33, 33)
+    found = quota.SharedQuota()
+    found.update_member_counts(33, 33)
     for number in range(count):
         found.take(f"w{number}", limit, 0.0)
     return _measure(lambda: found.take("w7", limit, 0.1))
@@ -110,13 +110,13 @@
 def _measure_report(count):
     """Return the cost of a report that names so many workspaces."""
     limit = quota.Limit(1e9, 1e9)
-    found = quota.SharedCount()
-    found.note_members(33, 33)
+    found = quota.SharedQuota()
+    found.update_member_counts(33, 33)
     numbers = iter(range(1, 1_000_000))
 
     def take():
         rows = dict.fromkeys((f"w{n}" for n in range(count)), (0, next(numbers), 0))
-        found.note_report("x:1", rows, lambda name: limit, 0.0)
+        found.merge_report("x:1", rows, lambda name: limit, 0.0)
 
     return _measure(take)
 
@@ -124,10 +124,10 @@
 def _measure_quota_memory(count):
     tracemalloc.start()
     limit = quota.Limit(5.0, 5.0)
-    found = quota.SharedCount()
-    found.note_members(33, 33)
+    found = quota.SharedQuota()
+    found.update_member_counts(33, 33)
     rows = {f"w{number}": (0, 1, 0) for number in range(count)}
-    found.note_report("x:1", rows, lambda name: limit, 0.0)
+    found.merge_report("x:1", rows, lambda name: limit, 0.0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return size / 1024
--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -55,8 +55,8 @@
 
     def __init__(self, admission, target):
         self.target = target
-        self.online = target.all_online
-        self.batch = target.all_batch
+        self.online = target.total_online
+        self.batch = target.total_batch
         self.taken_at = time.monotonic()
         self._admission = admission
         target.online += 1
@@ -110,14 +110,14 @@
         return [name for name, line in self._waiting.items() if line]
 
     def describe(self, service):
-        """Return the `load_shedding.Line` of a service."""
+        """Return the `load_shedding.QueueState` of a service."""
         now = time.monotonic()
         usable = [t for t in self._table.list_service(service) if t.is_usable(now)]
-        return load_shedding.Line(
-            places=sum(target.slots for target in usable),
-            free=target_choice.count_free(usable, now),
-            waiting=self.count_waiting(service) + self.peers_waiting[service],
-            hold_s=self.hold_s.get(service, FIRST_HOLD_S),
+        return load_shedding.QueueState(
+            slots=sum(target.slots for target in usable),
+            free_slots=target_choice.count_online_capacity(usable, now),
+            queued=self.count_waiting(service) + self.peers_waiting[service],
+            mean_hold_s=self.hold_s.get(service, FIRST_HOLD_S),
         )
 
     def take_now(self, demand, avoid=frozenset()):
@@ -182,8 +182,8 @@
         if now < self._next_share_at.get(service, 0.0):
             return
         others = max(0, self.peers_waiting[service])
-        free = self.describe(service).free
-        allowed = batch_queue.count_starts(free, own, others)
+        free = self.describe(service).free_slots
+        allowed = batch_queue.compute_entry_share(free, own, others)
         if free:
             round_s = self._get_round_s()
             self._next_share_at[service] = now + round_s
@@ -197,7 +197,7 @@
         if not line:
             return
         now = time.monotonic()
-        line.sort(key=lambda entry: request_order.rank(entry[0], now))
+        line.sort(key=lambda entry: request_order.compute_sort_key(entry[0], now))
         for entry in list(line):
             demand, avoid, future = entry
             if future.done():
@@ -238,7 +238,7 @@
         References:
             J. D. C. Little, "A proof for the queuing formula L = lambda W", 1961.
         """
-        running = sum(found.all_online for found in targets)
+        running = sum(found.total_online for found in targets)
         hold_s = self.hold_s.get(service, FIRST_HOLD_S)
         return running / hold_s * self._get_round_s()
 
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -80,8 +80,8 @@
         found = workspaces.find(call.key)
         if found is None:
             found = await self._find_newer(call)
-        standing = freshness.judge_age(self.age_s, self._bound_s)
-        if standing == freshness.Standing.OLD:
+        standing = freshness.classify_age(self.age_s, self._bound_s)
+        if standing == freshness.Freshness.STALE:
             self._note(call, "configuration_old", workspace=found.name)
             raise exception.RefusedError(self._refuse_unsure())
         return found
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -31,7 +31,7 @@
     runner,
     target,
 )
-from pimentowick.gateway.policy import news_relay, outlier_detection, quota
+from pimentowick.gateway.policy import outlier_detection, quota, report_relay
 from pimentowick.platform import message, node, operator, store
 
 __all__ = ["Gateway", "run"]
@@ -97,21 +97,23 @@
         self.metrics = metric.Metrics()
         self.configuration = follower.ConfigurationFollower()
         self.table = target.TargetTable(
-            lambda found: self.pools.drop(found),
-            lambda target_id: self.neighbours.tell_target(target_id),
+            lambda found: self.pools.remove_pool(found),
+            lambda target_id: self.neighbours.update_target_load(target_id),
         )
         self.admission = admission.Admission(
             self.table,
             settings.failure_domain,
             self._note_load,
-            lambda: self.neighbours.round_s,
+            lambda: self.neighbours.propagation_delay_s,
         )
         address = f"{settings.ip}:{settings.peer_ports[0]}"
         self.outliers = outlier_detection.OutlierDetection(settings.failure_domain)
-        self.quotas = quota.SharedCount(time.monotonic())
+        self.quotas = quota.SharedQuota(time.monotonic())
         self.neighbours = neighbour.Neighbours(
             address,
-            news_relay.NewsRelay(address, settings.failure_domain, settings.link_mbps),
+            report_relay.ReportRelay(
+                address, settings.failure_domain, settings.link_mbps
+            ),
             self.table,
             self.admission,
             self.outliers,
@@ -135,7 +137,7 @@
             lambda: self.configuration.current,
             settings.parts,
             self.metrics,
-            self.neighbours.note_change,
+            self.neighbours.schedule_report,
         )
         self.runner.neighbours = self.neighbours
         self.ownership = ownership.Ownership(
@@ -146,7 +148,7 @@
             address,
             settings.least_lease_s,
             self._note_parts,
-            self.neighbours.get_newest_renewal,
+            self.neighbours.get_latest_peer_renewal,
         )
         self.neighbours.get_renewal_age = self.ownership.get_age
         self._handover = handover.Handover(
@@ -178,10 +180,10 @@
         self._peer_configuration = peer_configuration.PeerConfiguration(
             self.configuration,
             self._feeds["configuration"],
-            self.neighbours.list_heard,
+            self.neighbours.list_live_peers,
             lambda: self.authentication.is_bounded,
         )
-        self._peers = exchange.Server(address, self._peer_configuration.answer)
+        self._peers = exchange.Server(address, self._peer_configuration.handle_request)
         self._dispatch = dispatch.Dispatch(
             self.configuration,
             self._feeds["configuration"],
@@ -240,7 +242,7 @@
             self._supervisor.start_child(f"feed {name}", self._follow_later, entry.feed)
             self._supervisor.start_child(f"append {name}", entry.run)
         self._supervisor.start_child("neighbours", self.neighbours.run)
-        self._supervisor.start_child("news relay", self.neighbours.relay)
+        self._supervisor.start_child("news relay", self.neighbours.run_relay)
         self._supervisor.start_child("announce", self._announce)
         self._supervisor.start_child("peer configuration", self._peer_configuration.run)
         self._supervisor.start_child("ownership", self.ownership.run)
@@ -343,11 +345,11 @@
     def _get_limit(self, name):
         """Return the `quota.Limit` of a workspace, or None if it has none."""
         current = self.configuration.current
-        found = None if current is None else current.find_limited(name)
+        found = None if current is None else current.find_rate_limited(name)
         return None if found is None else quota.Limit(found.rate_per_s, found.burst)
 
     def _note_load(self):
-        self.neighbours.note_change()
+        self.neighbours.schedule_report()
         self.runner.wake()
 
     def _note_places(self):
@@ -403,7 +405,7 @@
         """Drop what is out of date: targets that are gone, jobs nobody reads."""
         while True:
             await asyncio.sleep(CLEAN_EVERY_S)
-            self._targets.drop_missing()
+            self._targets.remove_missing_targets()
             await self._retention.remove_old()
 
     async def _answer_check(self, request):
@@ -437,8 +439,8 @@
                 **{name: now - entry.fresh_at for name, entry in feeds.items()},
                 "keys": self.authentication.age_s,
             },
-            places=sum(line.places for line in lines),
-            free=sum(line.free for line in lines),
+            places=sum(line.slots for line in lines),
+            free=sum(line.free_slots for line in lines),
             waiting=sum(map(self.admission.count_waiting, services)),
             targets=len(self.table.by_id),
             ejected=sum(found.ejected for found in self.table.by_id.values()),
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -103,7 +103,7 @@
             )
         finally:
             if is_limited and not may_have_run:
-                self._quotas.give_back(caller.name, time.monotonic())
+                self._quotas.refund(caller.name, time.monotonic())
 
     def _take_quota(self, call, caller, current):
         limit = quota.Limit(caller.rate_per_s, caller.burst)
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -30,7 +30,8 @@
         route: The `pimentowick.gateway.route.Route` of the job.
         service: Name of the service that the item goes to.
         transcript: The `pimentowick.gateway.transcript.Transcript`.
-        service_time: The `service_time.ServiceTime` of the route (`gateway.policy`).
+        service_time: The `service_time.ServiceTimeEstimator` of the route
+            (`gateway.policy`).
         is_whole: Whether all of its text is here and only has to be listed.
         not_before: Monotonic time of the next try.
         failures: Tries in a row without an event.
@@ -67,7 +68,7 @@
     @property
     def left_s(self):
         """Seconds that the item still has to run."""
-        return self.service_time.estimate_left(self.transcript.count_events())
+        return self.service_time.estimate_remaining_s(self.transcript.count_events())
 
 
 class Sink(upstream.Sink):
@@ -81,14 +82,14 @@
         self.in_order = True
         self.heard_at = time.monotonic()
 
-    async def take_head(self, status, headers, answer):
+    async def on_headers(self, status, headers, answer):
         """Take the head; see `upstream.Sink`."""
         self.status = status
         self.heard_at = time.monotonic()
         if not answer.signed or answer.encoded:
             self.in_order = False
 
-    async def take_chunk(self, chunk):
+    async def on_chunk(self, chunk):
         """Take some bytes; see `upstream.Sink`."""
         if self.status != 200:
             return
@@ -161,4 +162,4 @@
         if done:
             return sending.result()
         if time.monotonic() - sink.heard_at >= SILENT_S:
-            return upstream.Outcome(upstream.End.CUT, "silent")
+            return upstream.Outcome(upstream.End.INCOMPLETE, "silent")
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -111,13 +111,13 @@
 
     def caught_up(self):
         """Forget the targets that stay unlisted, if it is time."""
-        self.drop_missing()
+        self.remove_missing_targets()
 
     def _miss(self, target_id):
         self._missing_since.setdefault(target_id, time.monotonic())
-        self.drop_missing()
+        self.remove_missing_targets()
 
-    def drop_missing(self):
+    def remove_missing_targets(self):
         """Forget the targets that stay unlisted."""
         now = time.monotonic()
         if self.feed.lost_at is not None or now - self.feed.returned_at < RETURN_S:
@@ -152,8 +152,8 @@
         except (ValueError, TypeError, KeyError) as error:
             decision.note_belief("entry.garbled", entry=record.key, why=str(error))
             return
-        self._neighbours.meet(record.key, domain, link_mbps)
+        self._neighbours.add_member(record.key, domain, link_mbps)
 
     def caught_up(self):
         """Note that all entries are known that the store lists."""
-        self._neighbours.note_listed()
+        self._neighbours.on_members_listed()
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -55,14 +55,14 @@
         """Give up the parts that are lost, and take each new one once it is free."""
         wanted = self._ownership.parts
         self._runner.own(self._runner.owned & wanted)
-        while not self._neighbours.has_listened:
+        while not self._neighbours.has_heard_peers:
             await asyncio.sleep(CHECK_S)
         began_at = time.monotonic()
         left = wanted - self._runner.owned
         while left:
             held = frozenset()
             if time.monotonic() - began_at < LONGEST_WAIT_S:
-                held = left & self._neighbours.list_held_parts()
+                held = left & self._neighbours.list_peer_parts()
             if left - held:
                 await self._refresh()
                 self._runner.own(self._runner.owned | (left - held))
--- a/pimentowick/gateway/health.py
+++ b/pimentowick/gateway/health.py
@@ -30,7 +30,7 @@
         self._outliers = outliers
 
     @contextlib.contextmanager
-    def watch(self, target, objective_s, has_head, call_later):
+    def watch_for_silence(self, target, objective_s, has_head, call_later):
         """Count a request as failed early, while it still waits for its answer.
 
         Args:
@@ -42,7 +42,7 @@
 
         def check():
             if not has_head():
-                self._outliers.note(target.id, False)
+                self._outliers.record_outcome(target.id, False)
 
         handle = call_later(max(SILENT_S, 2 * objective_s), check)
         try:
@@ -50,7 +50,7 @@
         finally:
             handle.cancel()
 
-    def note_outcome(self, target, outcome, free=False):
+    def observe_outcome(self, target, outcome, free=False):
         """Learn from an outcome whether a target is sound and can be reached.
 
         Args:
@@ -67,12 +67,12 @@
         if outcome.end == upstream.End.NOT_RUN and outcome.connected:
             target.paused_until = max(target.paused_until, now + FULL_PAUSE_S)
             if free:
-                self._outliers.note(target.id, False)
+                self._outliers.record_outcome(target.id, False)
             return
         if outcome.connected and outcome.status != DEADLINE_STATUS:
-            whole = outcome.end == upstream.End.WHOLE
-            self._outliers.note(target.id, whole and outcome.status < 500)
-        if outcome.end == upstream.End.WHOLE or outcome.status:
+            whole = outcome.end == upstream.End.COMPLETE
+            self._outliers.record_outcome(target.id, whole and outcome.status < 500)
+        if outcome.end == upstream.End.COMPLETE or outcome.status:
             target.failures = 0
             return
         target.failures += 1
--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/neighbour.py
@@ -10,7 +10,7 @@
     address when it starts, and by the datagrams that they get.
 
     A few entries tell each other directly. Many do so through one entry of each failure
-    domain (see `pimentowick.gateway.policy.news_relay`).
+    domain (see `pimentowick.gateway.policy.report_relay`).
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 import orjson
 
 from pimentowick.gateway import decision
-from pimentowick.gateway.policy import news_relay
+from pimentowick.gateway.policy import report_relay
 
 __all__ = ["Neighbour", "Neighbours"]
 
@@ -34,16 +34,16 @@
 RECEIVED_PER_S = 400
 # From so many others on, news is relayed: told to each, it would come to each as
 # often as it can be taken, and be older than by way of two relays.
-RELAYED_FROM = 24
+RELAY_MIN_PEERS = 24
 MOST_SAVED = 3.0
 # Beyond the time until a change is told: the way between hosts, and a turn there.
 ROUND_MARGIN_S = 0.01
 IDLE_S = 0.4
-SILENT_S = 1.2
+PEER_HEARTBEAT_TIMEOUT_S = 1.2
 # A neighbour that was not heard for so long is not written to any more.
-FORGET_S = 20.0
+PEER_EXPIRY_S = 20.0
 # All that send have sent by then.
-LISTEN_S = IDLE_S + 0.1
+DISCOVERY_S = IDLE_S + 0.1
 MAX_BYTES = 60_000
 # Of a time in seconds; the news itself is tens of milliseconds old.
 AGE_DIGITS = 2
@@ -56,7 +56,7 @@
     Attributes:
         address: Its ``IP:port``.
         number: Number of its newest datagram.
-        heard_at: Monotonic time of that.
+        last_heard_at: Monotonic time of that.
         loads: Online requests and batch items by target identifier.
         waiting: Requests that wait there, by service.
         pending: Weight of the batch items that wait there, by service.
@@ -66,7 +66,7 @@
 
     address: str
     number: int = 0
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     loads: dict = dataclasses.field(default_factory=dict)
     waiting: dict = dataclasses.field(default_factory=dict)
     pending: dict = dataclasses.field(default_factory=dict)
@@ -84,12 +84,12 @@
 
     Args:
         address: ``IP:port`` of this entry.
-        relay: `pimentowick.gateway.policy.news_relay.NewsRelay` of this entry.
+        relay: `pimentowick.gateway.policy.report_relay.ReportRelay` of this entry.
         table: `pimentowick.gateway.target.TargetTable`.
         admission: `pimentowick.gateway.admission.Admission`.
         outliers: `pimentowick.gateway.policy.outlier_detection.OutlierDetection`.
         quotas: `pimentowick.gateway.policy.quota.Quota`.
-        on_news: Function called when a neighbour told a change.
+        on_peer_change: Function called when a neighbour told a change.
 
     Attributes:
         peers: The `Neighbour` objects by address.
@@ -101,7 +101,9 @@
         peers_pending: Weight of those that wait at other entries, by service.
     """
 
-    def __init__(self, address, relay, table, admission, outliers, quotas, on_news):
+    def __init__(
+        self, address, relay, table, admission, outliers, quotas, on_peer_change
+    ):
         self.address = address
         self.peers = {}
         self._relay = relay
@@ -111,7 +113,7 @@
         self._outliers = outliers
         self._quotas = quotas
         self._is_listed = False
-        self._on_news = on_news
+        self._on_news = on_peer_change
         self._transport = None
         self._started_at = float("-inf")
         self._changed = asyncio.Event()
@@ -141,12 +143,12 @@
             self._transport.close()
             self._transport = None
 
-    def meet(self, address, failure_domain, link_mbps):
+    def add_member(self, address, failure_domain, link_mbps):
         """Take what the store says of another entry."""
         self._relay.add(address, failure_domain, link_mbps)
         self.add(address)
 
-    def note_listed(self):
+    def on_members_listed(self):
         """Note that all entries that the store knows were told."""
         self._is_listed = True
 
@@ -154,7 +156,7 @@
         """Take the address of another entry."""
         if address == self.address or address in self.peers:
             return
-        self.peers[address] = Neighbour(address, heard_at=time.monotonic())
+        self.peers[address] = Neighbour(address, last_heard_at=time.monotonic())
 
     def remove(self, address):
         """Forget an entry."""
@@ -162,13 +164,13 @@
         peer = self.peers.pop(address, None)
         if peer is not None:
             self._replace(peer, {}, {}, {})
-            self._outliers.replace(address, "", {})
+            self._outliers.update_peer(address, "", {})
 
-    def note_change(self):
+    def schedule_report(self):
         """Note that what runs here has changed."""
         self._changed.set()
 
-    def get_batch_counts(self, target_id):
+    def get_peer_batch_counts(self, target_id):
         """Return the batch items of each other entry at a target."""
         counts = {}
         for peer in self.peers.values():
@@ -183,52 +185,58 @@
         return FLUSH_S + max(0.0, 1.0 - self._count_saved()) / self._rate
 
     @property
-    def round_s(self):
+    def propagation_delay_s(self):
         """Seconds until the others know what is taken now."""
-        relays_s = 2 * news_relay.BUNDLE_S if self._is_relayed else 0.0
+        relays_s = 2 * report_relay.BUNDLE_INTERVAL_S if self._is_relayed else 0.0
         return self.flush_s + relays_s + ROUND_MARGIN_S
 
     @property
     def _is_relayed(self):
-        return len(self.peers) >= RELAYED_FROM
+        return len(self.peers) >= RELAY_MIN_PEERS
 
     @property
     def _rate(self):
         """Reports that this entry may send in a second."""
-        return RECEIVED_PER_S / max(1, min(len(self.peers), RELAYED_FROM))
+        return RECEIVED_PER_S / max(1, min(len(self.peers), RELAY_MIN_PEERS))
 
     def _count_saved(self):
         """Return how many datagrams may be sent to each peer now."""
         gained = (time.monotonic() - self._saved_at) * self._rate
         return min(MOST_SAVED, self._saved + gained)
 
-    def get_newest_renewal(self):
+    def get_latest_peer_renewal(self):
         """Return the monotonic time of the newest renewal that those heard told.
 
         It is infinite if none can be heard of those that are known: they may have been
         renewed since. Without any it is minus infinity.
         """
-        heard_since = time.monotonic() - SILENT_S
-        heard = [peer for peer in self.peers.values() if peer.heard_at > heard_since]
+        heard_since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
+        heard = [
+            peer for peer in self.peers.values() if peer.last_heard_at > heard_since
+        ]
         if not heard:
             return math.inf if self.peers else -math.inf
         renewals = [peer.renewed_at for peer in heard if peer.renewed_at is not None]
         return max(renewals, default=-math.inf)
 
-    def list_heard(self):
+    def list_live_peers(self):
         """Return the addresses of the entries that were heard just now."""
-        since = time.monotonic() - SILENT_S
-        return [peer.address for peer in self.peers.values() if peer.heard_at > since]
+        since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
+        return [
+            peer.address for peer in self.peers.values() if peer.last_heard_at > since
+        ]
 
     @property
-    def has_listened(self):
+    def has_heard_peers(self):
         """Whether all neighbours have been heard that send anything."""
-        return time.monotonic() - self._started_at >= LISTEN_S
+        return time.monotonic() - self._started_at >= DISCOVERY_S
 
-    def list_held_parts(self):
+    def list_peer_parts(self):
         """Return the parts of the batch work that others say they hold."""
-        since = time.monotonic() - SILENT_S
-        heard = [peer.parts for peer in self.peers.values() if peer.heard_at > since]
+        since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
+        heard = [
+            peer.parts for peer in self.peers.values() if peer.last_heard_at > since
+        ]
         return frozenset().union(*heard)
 
     async def run(self):
@@ -249,10 +257,10 @@
 
     def _count_heard(self):
         """Tell the limits how many entries count what they let through together."""
-        heard = 1 + len(self.list_heard())
-        if not (self._is_listed and self.has_listened):
+        heard = 1 + len(self.list_live_peers())
+        if not (self._is_listed and self.has_heard_peers):
             heard = 0
-        self._quotas.note_members(1 + len(self.peers), heard)
+        self._quotas.update_member_counts(1 + len(self.peers), heard)
 
     def _describe(self):
         targets = self._table.by_id.values()
@@ -260,7 +268,7 @@
         services = self._admission.list_services()
         waiting = {name: self._admission.count_waiting(name) for name in services}
         age_s = self.get_renewal_age()
-        failing = self._outliers.describe()
+        failing = self._outliers.build_report()
         return {
             "loads": loads,
             "waiting": waiting,
@@ -269,7 +277,7 @@
             "parts": sorted(self.get_held_parts()),
             "failure_domain": self._outliers.failure_domain if failing else "",
             "failing": failing,
-            "taken": self._quotas.describe(time.monotonic()),
+            "taken": self._quotas.build_report(time.monotonic()),
         }
 
     def _send(self, data):
@@ -281,7 +289,7 @@
         if not self._is_relayed:
             self._send_to(self.peers, report)
             return
-        self._send_bundles(self._relay.tell(report, time.monotonic()))
+        self._send_bundles(self._relay.bundle_own_report(report, time.monotonic()))
         self._send_to(self._list_affected(), report)
 
     def _list_affected(self):
@@ -293,7 +301,7 @@
         crowded = [
             found.id
             for found in self._table.by_id.values()
-            if found.online and found.all_online + found.all_batch > found.slots
+            if found.online and found.total_online + found.total_batch > found.slots
         ]
         return [
             peer.address
@@ -304,7 +312,7 @@
     def _send_bundles(self, bundles):
         for bundle in bundles:
             data = {"sender": self.address, "reports": bundle.reports}
-            if bundle.asks:
+            if bundle.must_forward:
                 data["asks"] = True
             if bundle.relays:
                 data["relays"] = bundle.relays
@@ -319,21 +327,21 @@
             ip, _, port = address.rpartition(":")
             self._transport.sendto(packet, (ip, int(port)))
 
-    async def relay(self):
+    async def run_relay(self):
         """Pass on what other entries tell, while it is this entry's turn."""
         while True:
             now = time.monotonic()
-            if self._is_relayed and self._relay.is_acting(now):
-                self._send_bundles(self._relay.collect(now))
-                await asyncio.sleep(news_relay.BUNDLE_S)
+            if self._is_relayed and self._relay.is_relaying(now):
+                self._send_bundles(self._relay.bundle_pending_reports(now))
+                await asyncio.sleep(report_relay.BUNDLE_INTERVAL_S)
                 continue
-            if self._is_relayed and self._relay.has_moved(now):
+            if self._is_relayed and self._relay.has_relay_changed(now):
                 chosen = self._relay.get_relay(now)
                 decision.note_belief("neighbour.relay", neighbour=chosen)
-                self.note_change()
+                self.schedule_report()
             self._relaying.clear()
             try:
-                async with asyncio.timeout(news_relay.HEARTBEAT_S):
+                async with asyncio.timeout(report_relay.HEARTBEAT_INTERVAL_S):
                     await self._relaying.wait()
             except TimeoutError:
                 pass
@@ -356,10 +364,10 @@
     def _take_bundle(self, found, reports):
         now = time.monotonic()
         if "asks" in found:
-            self._relay.note_asked(found["sender"], reports, now)
+            self._relay.on_forward_request(found["sender"], reports, now)
             self._relaying.set()
         else:
-            self._relay.note_told(found["sender"], found.get("relays", ()), now)
+            self._relay.on_bundle(found["sender"], found.get("relays", ()), now)
         changed = [
             self._take_report(report)
             for report in reports
@@ -399,12 +407,12 @@
         peer.renewed_at = None if age_s is None else now - float(age_s)
         changed = loads != peer.loads or waiting != peer.waiting
         peer.number = number
-        peer.heard_at = now
+        peer.last_heard_at = now
         peer.parts = parts
         self._replace(peer, loads, waiting, pending)
         domain = str(found.get("failure_domain", ""))
-        self._outliers.replace(address, domain, failing)
-        self._quotas.note_report(address, taken, self.get_limit, now)
+        self._outliers.update_peer(address, domain, failing)
+        self._quotas.merge_report(address, taken, self.get_limit, now)
         return changed
 
     def error_received(self, exc):
@@ -414,15 +422,15 @@
         now = time.monotonic()
         dropped = False
         for peer in list(self.peers.values()):
-            if now - peer.heard_at > SILENT_S and peer.is_busy:
+            if now - peer.last_heard_at > PEER_HEARTBEAT_TIMEOUT_S and peer.is_busy:
                 decision.note_belief("neighbour.silent", neighbour=peer.address)
                 self._replace(peer, {}, {}, {})
                 dropped = True
-            if now - peer.heard_at > SILENT_S:
-                self._outliers.replace(peer.address, "", {})
+            if now - peer.last_heard_at > PEER_HEARTBEAT_TIMEOUT_S:
+                self._outliers.update_peer(peer.address, "", {})
                 # Started anew by a clock that was set back, it counts from below.
                 peer.number = 0
-            if now - peer.heard_at > FORGET_S:
+            if now - peer.last_heard_at > PEER_EXPIRY_S:
                 self.peers.pop(peer.address)
                 self._relay.remove(peer.address)
         if dropped:
@@ -440,7 +448,7 @@
             for target_id, (online, batch) in loads.items():
                 self._add(target_id, online, batch)
             for target_id in peer.loads.keys() | loads.keys():
-                self.tell_target(target_id)
+                self.update_target_load(target_id)
             peer.loads = loads
         if waiting != peer.waiting:
             self._admission.peers_waiting.subtract(peer.waiting)
@@ -459,7 +467,7 @@
         else:
             self._sums.pop(target_id, None)
 
-    def tell_target(self, target_id):
+    def update_target_load(self, target_id):
         """Set what other entries have at a target, if it is listed."""
         found = self._table.by_id.get(target_id)
         if found is not None:
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -75,13 +75,13 @@
     async def run(self):
         """Renew until cancelled."""
         while True:
-            self._reachability.begin(time.monotonic())
+            self._reachability.start_attempt(time.monotonic())
             try:
                 await self._try()
             except exception.LogError as error:
                 self._note_failure(error)
             finally:
-                self._reachability.end()
+                self._reachability.end_attempt()
             await self._pause()
 
     async def _try(self):
@@ -118,7 +118,7 @@
 
     def _sees_others(self):
         """Return whether others are seen for the first time to reach the store."""
-        return self._reachability.see_others(
+        return self._reachability.observe_peers(
             time.monotonic(), self._get_others_renewal()
         )
 
@@ -132,7 +132,7 @@
             decision.note_belief(
                 "ownership.lost_store", parts=sorted(self.parts), why=str(error)
             )
-        self._reachability.fail()
+        self._reachability.record_failure()
         if self.is_cut_off:
             self._give_up_lapsed()
 
@@ -165,7 +165,7 @@
         )
         self._generation = dealt.generation
         self.renewed_at = time.monotonic()
-        self._reachability.succeed()
+        self._reachability.record_success()
         self.is_alone = False
         if dealt.parts == self.parts:
             return
--- a/pimentowick/gateway/peer_configuration.py
+++ b/pimentowick/gateway/peer_configuration.py
@@ -65,9 +65,9 @@
                 continue
             peers = self._list_peers()
             if peers:
-                await self.ask(random.choice(peers))
+                await self.fetch_from_peer(random.choice(peers))
 
-    async def ask(self, address):
+    async def fetch_from_peer(self, address):
         """Take what another entry knows of the configuration."""
         asked_at = self._feed.clock()
         known = self._configuration.current
@@ -97,7 +97,7 @@
             self._feed.proved_at = max(self._feed.proved_at, asked_at - age_s)
             self._note_helped(True, neighbour=address, version=known.version)
 
-    async def answer(self, request):
+    async def handle_request(self, request):
         """Answer another entry's `pimentowick.gateway.exchange.Exchange`."""
         known = self._configuration.current
         if request.path != PATH or known is None:
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -8,12 +8,12 @@
 import math
 import random
 
-__all__ = ["count_starts", "is_late", "order_items", "weigh_pending"]
+__all__ = ["compute_entry_share", "is_late", "order_items", "sum_pending_weight"]
 
-LATE_WEIGHT = 0.1
+LATE_ITEM_WEIGHT = 0.1
 
 
-def count_starts(room, own, others, draw=random.random):
+def compute_entry_share(room, own, others, draw=random.random):
     """Return how many items an entry starts now, its share of the room there is.
 
     All entries see the same free places at the same time. Each filling them alone,
@@ -26,10 +26,10 @@
         draw: Function that returns a number from 0 to 1.
 
     Examples:
-        >>> count_starts(6, 5, 10, lambda: 0.0), count_starts(6, 5, 0)
+        >>> compute_entry_share(6, 5, 10, lambda: 0.0), compute_entry_share(6, 5, 0)
         (2, 5)
-        >>> count_starts(1, 1, 3, lambda: 0.7), count_starts(1, 1, 3, lambda: 0.8)
-        (0, 1)
+        >>> [compute_entry_share(1, 1, 3, lambda: drawn) for drawn in (0.7, 0.8)]
+        [0, 1]
     """
     if room <= 0 or own <= 0:
         return 0
@@ -71,9 +71,9 @@
     return entry.due_at <= now + entry.left_s
 
 
-def weigh_pending(pending, now):
+def sum_pending_weight(pending, now):
     """Return what an entry's share of the free places is measured by.
 
     Items that are late whatever is done leave the places to others' that are not.
     """
-    return sum(LATE_WEIGHT if is_late(entry, now) else 1.0 for entry in pending)
+    return sum(LATE_ITEM_WEIGHT if is_late(entry, now) else 1.0 for entry in pending)
--- a/pimentowick/gateway/policy/freshness.py
+++ b/pimentowick/gateway/policy/freshness.py
@@ -19,7 +19,7 @@
 
 import enum
 
-__all__ = ["Standing", "judge_age", "should_leave_rotation"]
+__all__ = ["Freshness", "classify_age", "should_leave_rotation"]
 
 # Clocks run at rates that differ by less than this part of the bound.
 DRIFT_SHARE = 0.005
@@ -27,17 +27,17 @@
 NOTICE_S = 2.5
 
 
-class Standing(enum.Enum):
+class Freshness(enum.Enum):
     """What an entry may do for the holders of keys."""
 
     FRESH = enum.auto()
     """It may serve them."""
-    OLD = enum.auto()
+    STALE = enum.auto()
     """It has to refuse them: a key may be out of force."""
 
 
-def judge_age(age_s, bound_s):
-    """Return the `Standing` of an entry.
+def classify_age(age_s, bound_s):
+    """Return the `Freshness` of an entry.
 
     Args:
         age_s: Seconds since the store was asked for the newest configuration, for the
@@ -45,20 +45,20 @@
         bound_s: Seconds within which a key has to be out of force, or None.
 
     Examples:
-        >>> judge_age(4.9, 5.0), judge_age(5.0, 5.0)
-        (<Standing.FRESH: 1>, <Standing.OLD: 2>)
+        >>> classify_age(4.9, 5.0), classify_age(5.0, 5.0)
+        (<Freshness.FRESH: 1>, <Freshness.STALE: 2>)
     """
     if bound_s is None or age_s <= bound_s * (1 - DRIFT_SHARE):
-        return Standing.FRESH
-    return Standing.OLD
+        return Freshness.FRESH
+    return Freshness.STALE
 
 
 def should_leave_rotation(age_s, bound_s, is_alone):
     """Return whether callers are better sent to other entries from now on.
 
     Args:
-        age_s: Seconds, as for `judge_age`.
-        bound_s: Seconds, as for `judge_age`.
+        age_s: Seconds, as for `classify_age`.
+        bound_s: Seconds, as for `classify_age`.
         is_alone: Whether others are known to reach the store.
 
     Examples:
@@ -69,4 +69,4 @@
     """
     if bound_s is None:
         return False
-    return is_alone and judge_age(age_s + NOTICE_S, bound_s) == Standing.OLD
+    return is_alone and classify_age(age_s + NOTICE_S, bound_s) == Freshness.STALE
--- a/pimentowick/gateway/policy/outlier_detection.py
+++ b/pimentowick/gateway/policy/outlier_detection.py
@@ -59,7 +59,7 @@
         self._own = {}
         self._peers = {}
 
-    def note(self, target_id, good, now=None):
+    def record_outcome(self, target_id, good, now=None):
         """Take the outcome of a request of this entry."""
         now = time.monotonic() if now is None else now
         tally = self._own.setdefault(target_id, Tally(at=now))
@@ -69,7 +69,7 @@
         else:
             tally.bad += 1.0
 
-    def describe(self, now=None):
+    def build_report(self, now=None):
         """Return [bad, good] of each target that an entry has seen fail."""
         now = time.monotonic() if now is None else now
         wanted = self._list_suspects(now)
@@ -80,7 +80,7 @@
             told[target_id] = [round(tally.bad, 2), round(tally.good, 2)]
         return told
 
-    def replace(self, address, failure_domain, told):
+    def update_peer(self, address, failure_domain, told):
         """Take what a neighbour says now; nothing if it is gone."""
         if told:
             self._peers[address] = (failure_domain, told)
--- a/pimentowick/gateway/policy/preemption.py
+++ b/pimentowick/gateway/policy/preemption.py
@@ -26,7 +26,7 @@
     Returns:
         Number of items.
     """
-    excess = target.all_online + target.all_batch - target.slots
+    excess = target.total_online + target.total_batch - target.slots
     if excess <= 0 or not target.batch:
         return 0
     counts = dict(peers)
--- a/pimentowick/gateway/policy/quota.py
+++ b/pimentowick/gateway/policy/quota.py
@@ -6,11 +6,12 @@
     any entry. What all entries let through in any window is the limit; what lies within
     the limit is not refused, whichever entry it comes to.
 
-    Both ways here refill a token bucket at the workspace's rate. `FixedShare` deals the
-    rate out evenly, so nothing has to be told, and a caller that comes to few entries
-    is refused within its limit. `SharedCount` takes what others let through off its
-    own copy of one bucket. Entries that do not hear each other split the rate by their
-    numbers, so that the sum over all groups stays the limit.
+    Both ways here refill a token bucket at the workspace's rate. `EvenShareQuota`
+    deals the rate out evenly, so nothing has to be told, and a caller that comes to
+    few entries is refused within its limit. `SharedQuota` takes what
+    others let through off its own copy of one bucket. Entries that do not hear each
+    other split the rate by their numbers, so that the sum over all groups stays the
+    limit.
 
 References:
     J. Turner, "New directions in communications (or which way to the information
@@ -21,7 +22,7 @@
 import abc
 import dataclasses
 
-__all__ = ["FixedShare", "Limit", "Quota", "SharedCount"]
+__all__ = ["EvenShareQuota", "Limit", "Quota", "SharedQuota"]
 
 # Takes are told by periods: that under way and the one before, so that a report that
 # is lost is made up for by the next.
@@ -86,7 +87,7 @@
         self._cleaned_at = started_at
         self.share = 0.0
 
-    def note_members(self, known, heard):
+    def update_member_counts(self, known, heard):
         """Take how many entries there are, and how many of them are heard.
 
         Args:
@@ -122,7 +123,7 @@
         _count(bucket, 1, now)
         return 0.0
 
-    def give_back(self, workspace, now):
+    def refund(self, workspace, now):
         """Take back that a request was let through: it has not run."""
         bucket = self._buckets.get(workspace)
         if bucket is not None:
@@ -130,16 +131,16 @@
             _count(bucket, -1, now)
 
     @abc.abstractmethod
-    def describe(self, now):
+    def build_report(self, now):
         """Return what the others have to know: rows by workspace, empty if nothing."""
 
     @abc.abstractmethod
-    def note_report(self, address, rows, limits, now):
+    def merge_report(self, address, rows, limits, now):
         """Take what another entry has described.
 
         Args:
             address: Its address.
-            rows: What `describe` returned there.
+            rows: What `build_report` returned there.
             limits: Function from the name of a workspace to its `Limit`, or None if it
                 has none.
             now: The time.
@@ -191,12 +192,12 @@
     bucket.taken += takes
 
 
-class FixedShare(Quota):
+class EvenShareQuota(Quota):
     """An even share of each limit, whatever the others do.
 
     Examples:
-        >>> quota = FixedShare()
-        >>> quota.note_members(known=4, heard=1)
+        >>> quota = EvenShareQuota()
+        >>> quota.update_member_counts(known=4, heard=1)
         >>> limit = Limit(rate_per_s=8.0, burst=4.0)
         >>> quota.take("w", limit, now=0.0), quota.take("w", limit, now=0.0)
         (0.0, 0.5)
@@ -205,25 +206,26 @@
     def _compute_share(self, known, heard):
         return 1.0 / max(1, known)
 
-    def describe(self, now):
+    def build_report(self, now):
         """Return nothing: no entry counts what another lets through."""
         return {}
 
-    def note_report(self, address, rows, limits, now):
+    def merge_report(self, address, rows, limits, now):
         """Pass over what another entry has described."""
 
 
-class SharedCount(Quota):
+class SharedQuota(Quota):
     """One limit that is counted together, by what the entries tell each other.
 
     Examples:
         >>> limit = Limit(rate_per_s=8.0, burst=2.0)
-        >>> here, there = SharedCount(), SharedCount()
+        >>> here, there = SharedQuota(), SharedQuota()
         >>> for quota in (here, there):
-        ...     quota.note_members(known=2, heard=2)
+        ...     quota.update_member_counts(known=2, heard=2)
         >>> here.take("w", limit, now=5.0), here.take("w", limit, now=5.0)
         (0.0, 0.0)
-        >>> there.note_report("here", here.describe(5.0), lambda name: limit, now=5.0)
+        >>> report = here.build_report(5.0)
+        >>> there.merge_report("here", report, lambda name: limit, now=5.0)
         >>> there.take("w", limit, now=5.0)
         0.125
     """
@@ -235,7 +237,7 @@
     def _compute_share(self, known, heard):
         return heard / max(1, known, heard)
 
-    def describe(self, now):
+    def build_report(self, now):
         """Return the takes of the period under way and of the one before."""
         period = int(now // PERIOD_S)
         rows = {}
@@ -246,7 +248,7 @@
                 rows[workspace] = (bucket.period, bucket.taken, bucket.taken_before)
         return rows
 
-    def note_report(self, address, rows, limits, now):
+    def merge_report(self, address, rows, limits, now):
         """Take off what another entry has let through since its last report."""
         heard = self._heard.setdefault(address, {})
         for workspace, (period, taken, taken_before) in rows.items():
--- a/pimentowick/gateway/policy/reachability.py
+++ b/pimentowick/gateway/policy/reachability.py
@@ -32,14 +32,14 @@
 
     Examples:
         >>> found = Reachability()
-        >>> found.begin(10.0)
-        >>> found.fail()
-        >>> found.see_others(10.2, others_renewed_at=9.9)
+        >>> found.start_attempt(10.0)
+        >>> found.record_failure()
+        >>> found.observe_peers(10.2, others_renewed_at=9.9)
         False
-        >>> found.see_others(10.6, others_renewed_at=10.5)
+        >>> found.observe_peers(10.6, others_renewed_at=10.5)
         True
-        >>> found.begin(10.6)
-        >>> found.fail()
+        >>> found.start_attempt(10.6)
+        >>> found.record_failure()
         >>> found.is_cut_off(10.7, served_at=9.0)
         True
     """
@@ -55,26 +55,26 @@
         """Whether the last try failed."""
         return self._failed_since is not None
 
-    def begin(self, now):
+    def start_attempt(self, now):
         """Note that a try begins."""
         self._began_at = now
 
-    def end(self):
+    def end_attempt(self):
         """Note that no try is under way any more."""
         self._began_at = None
 
-    def succeed(self):
+    def record_success(self):
         """Note that the lease was renewed."""
         self.__init__()
 
-    def fail(self):
+    def record_failure(self):
         """Note that the try under way has failed."""
         if self._failed_since is None:
             self._failed_since = self._began_at
         if self._passed_at is not None and self._began_at >= self._passed_at:
             self._is_proved = True
 
-    def see_others(self, now, others_renewed_at):
+    def observe_peers(self, now, others_renewed_at):
         """Return whether others are seen for the first time to reach the store.
 
         Args:
--- a/pimentowick/gateway/policy/news_relay.py
+++ b/pimentowick/gateway/policy/report_relay.py
@@ -27,12 +27,12 @@
 
 from pimentowick import rendezvous
 
-__all__ = ["BUNDLE_S", "HEARTBEAT_S", "Bundle", "NewsRelay"]
+__all__ = ["BUNDLE_INTERVAL_S", "HEARTBEAT_INTERVAL_S", "Bundle", "ReportRelay"]
 
 # A relay sends what it got in this time as one bundle.
-BUNDLE_S = 0.04
+BUNDLE_INTERVAL_S = 0.04
 # It sends one at least this often, with nothing in it if there is nothing.
-HEARTBEAT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 # A relay that is not heard for so long is passed over; some heartbeats may be lost.
 SILENT_S = 0.35
 # Reports that are older than this are not told again.
@@ -69,17 +69,17 @@
     Attributes:
         receivers: Addresses.
         reports: The reports.
-        asks: Whether the receivers are asked to pass them on.
+        must_forward: Whether the receivers are asked to pass them on.
         relays: Relays of other domains that were heard just now.
     """
 
     receivers: list
     reports: list
-    asks: bool
+    must_forward: bool
     relays: tuple = ()
 
 
-class NewsRelay:
+class ReportRelay:
     """What one entry sends, and to whom; all times are monotonic, in seconds.
 
     Args:
@@ -88,13 +88,15 @@
         link_mbps: What its link carries.
 
     Examples:
-        >>> found = NewsRelay("a:1", "west", 100.0)
+        >>> found = ReportRelay("a:1", "west", 100.0)
         >>> found.add("b:1", "west", 1000.0)
-        >>> found.tell({"from": "a:1"}, now=0.0)
-        [Bundle(receivers=['b:1'], reports=[{'from': 'a:1'}], asks=True, relays=())]
-        >>> found.tell({"from": "a:1"}, now=SILENT_S + 0.1)
+        >>> (bundle,) = found.bundle_own_report({"from": "a:1"}, now=0.0)
+        >>> bundle.receivers, bundle.reports, bundle.must_forward, bundle.relays
+        (['b:1'], [{'from': 'a:1'}], True, ())
+        >>> found.bundle_own_report({"from": "a:1"}, now=SILENT_S + 0.1)
         []
-        >>> [bundle.reports for bundle in found.collect(now=SILENT_S + 0.1)]
+        >>> bundles = found.bundle_pending_reports(now=SILENT_S + 0.1)
+        >>> [bundle.reports for bundle in bundles]
         [[{'from': 'a:1'}]]
     """
 
@@ -133,7 +135,7 @@
         del self._members[address]
         self._domains[found.failure_domain].remove(found)
 
-    def tell(self, report, now):
+    def bundle_own_report(self, report, now):
         """Return the `Bundle` objects that carry this entry's own report."""
         chosen = self._choose(self._own.failure_domain, now)
         self._told = chosen
@@ -142,7 +144,7 @@
         self._take(report)
         return []
 
-    def note_asked(self, sender, reports, now):
+    def on_forward_request(self, sender, reports, now):
         """Take reports of this domain, or of others by their relays, to pass on."""
         self._acts_until = now + ACT_S
         if sender not in self._members:
@@ -158,7 +160,7 @@
             else:
                 self._take(report)
 
-    def note_told(self, sender, relays, now):
+    def on_bundle(self, sender, relays, now):
         """Note that a bundle came that is not to be passed on, and whom it names."""
         for address in (sender, *relays):
             member = self._members.get(address)
@@ -169,24 +171,24 @@
         """Return the address of the relay of this entry's domain."""
         return self._choose(self._own.failure_domain, now).address
 
-    def has_moved(self, now):
+    def has_relay_changed(self, now):
         """Return whether another one relays than was told last, which knows nothing."""
         chosen = self._choose(self._own.failure_domain, now)
         return chosen is not self._told
 
-    def is_acting(self, now):
+    def is_relaying(self, now):
         """Return whether this entry relays now."""
         chosen = self._choose(self._own.failure_domain, now)
         return chosen is self._own or now < self._acts_until
 
-    def collect(self, now):
-        """Return the `Bundle` objects that are due; to be called every `BUNDLE_S`."""
-        if not self.is_acting(now):
+    def bundle_pending_reports(self, now):
+        """Return the bundles that are due; call it every `BUNDLE_INTERVAL_S`."""
+        if not self.is_relaying(now):
             self._for_domain.clear()
             self._for_others.clear()
             return []
         is_new = self._for_domain or self._for_others
-        if not is_new and now - self._sent_at < HEARTBEAT_S:
+        if not is_new and now - self._sent_at < HEARTBEAT_INTERVAL_S:
             return []
         self._sent_at = now
         self._newest |= {name: (now, row) for name, row in self._for_others.items()}
--- a/pimentowick/gateway/policy/request_order.py
+++ b/pimentowick/gateway/policy/request_order.py
@@ -13,10 +13,10 @@
     turn.
 """
 
-__all__ = ["rank"]
+__all__ = ["compute_sort_key"]
 
 
-def rank(demand, now):
+def compute_sort_key(demand, now):
     """Return the key by which those that wait are ordered, the least first.
 
     Args:
--- a/pimentowick/gateway/policy/service_time.py
+++ b/pimentowick/gateway/policy/service_time.py
@@ -1,6 +1,6 @@
 """How long the items of a batch route take, from those that ran."""
 
-__all__ = ["ServiceTime"]
+__all__ = ["ServiceTimeEstimator"]
 
 # Weight of the newest run in the means.
 WEIGHT = 0.1
@@ -9,16 +9,16 @@
 INTERRUPTION_SHARE = 1.2
 
 
-class ServiceTime:
+class ServiceTimeEstimator:
     """Moving means of one route; nothing is known before the first item is done.
 
     Examples:
-        >>> found = ServiceTime()
-        >>> found.estimate_left(0)
+        >>> found = ServiceTimeEstimator()
+        >>> found.estimate_remaining_s(0)
         0.0
-        >>> found.note_run(50, 1.0)
-        >>> found.note_item(100)
-        >>> round(found.estimate_left(40), 3)
+        >>> found.record_run(50, 1.0)
+        >>> found.record_item(100)
+        >>> round(found.estimate_remaining_s(40), 3)
         1.44
     """
 
@@ -26,16 +26,16 @@
         self._events = None
         self._event_s = None
 
-    def note_run(self, events, took_s):
+    def record_run(self, events, took_s):
         """Take a run that made `events` events in `took_s` seconds."""
         if events > 0:
             self._event_s = _mix(self._event_s, took_s / events)
 
-    def note_item(self, events):
+    def record_item(self, events):
         """Take an item that is done, with so many events in all its runs."""
         self._events = _mix(self._events, events)
 
-    def estimate_left(self, done):
+    def estimate_remaining_s(self, done):
         """Return the seconds that an item takes from now, after `done` events."""
         if self._events is None or self._event_s is None:
             return 0.0
--- a/pimentowick/gateway/policy/target_choice.py
+++ b/pimentowick/gateway/policy/target_choice.py
@@ -25,23 +25,28 @@
 import math
 import random
 
-__all__ = ["choose_for_batch", "choose_for_online", "count_free", "count_room"]
+__all__ = [
+    "choose_for_batch",
+    "choose_for_online",
+    "count_batch_capacity",
+    "count_online_capacity",
+]
 
 # Share of all places that batch items leave free: an online request that comes in
 # then starts without waiting for a preemption, and the item is not broken off.
 HEADROOM_SHARE = 0.06
 
 
-def count_free(targets, now):
+def count_online_capacity(targets, now):
     """Return how many places are not taken by online requests."""
     return sum(
-        max(0, target.slots - target.all_online)
+        max(0, target.slots - target.total_online)
         for target in targets
         if target.is_usable(now)
     )
 
 
-def count_room(targets, now):
+def count_batch_capacity(targets, now):
     """Return how many more batch items all targets together can take."""
     usable = [target for target in targets if target.is_usable(now)]
     headroom = math.ceil(HEADROOM_SHARE * sum(target.slots for target in usable))
@@ -49,7 +54,12 @@
 
 
 def choose_for_online(
-    targets, now, failure_domain, avoid=frozenset(), coming=1.0, draw=random.random
+    targets,
+    now,
+    failure_domain,
+    avoid=frozenset(),
+    expected_sends=1.0,
+    draw=random.random,
 ):
     """Return the target for an online request, or None while all are full.
 
@@ -59,7 +69,7 @@
         failure_domain: That of this entry; equal targets nearby go first, since
             bytes between failure domains are paid for.
         avoid: Identifiers of targets that this request was at.
-        coming: Requests that all entries send until they know of each other's.
+        expected_sends: Requests that all entries send until they know of each other's.
         draw: Function that returns a number from 0 to 1.
     """
     usable = [
@@ -67,15 +77,15 @@
         for target in targets
         if target.is_usable(now)
         and target.id not in avoid
-        and target.all_online < target.slots
+        and target.total_online < target.slots
     ]
     free = [target for target in usable if _count_untaken(target) > 0]
     taken = [target for target in usable if _count_untaken(target) <= 0]
     places = sum(map(_count_untaken, free))
-    if taken and places <= draw() * max(places, coming):
+    if taken and places <= draw() * max(places, expected_sends):
         # An item is preempted, sooner where few already have to.
         drawn = _draw(
-            taken, lambda target: target.slots - target.all_online, failure_domain
+            taken, lambda target: target.slots - target.total_online, failure_domain
         )
     else:
         drawn = _draw(free, _count_untaken, failure_domain)
@@ -95,18 +105,18 @@
 
 
 def _count_untaken(target):
-    return target.slots - target.all_online - target.all_batch
+    return target.slots - target.total_online - target.total_batch
 
 
 def _rank(target, failure_domain):
     far = target.registration.failure_domain != failure_domain
-    taken = target.all_online + target.all_batch
+    taken = target.total_online + target.total_batch
     return (max(0, taken + 1 - target.slots), taken / target.slots, far)
 
 
 def choose_for_batch(targets, now, failure_domain):
     """Return the target for a batch item, or None while none has room."""
-    if not count_room(targets, now):
+    if not count_batch_capacity(targets, now):
         return None
     free = [t for t in targets if t.is_usable(now) and _count_untaken(t) > 0]
     drawn = _draw(free, _count_untaken, failure_domain)
--- a/pimentowick/gateway/pools.py
+++ b/pimentowick/gateway/pools.py
@@ -42,7 +42,7 @@
         limit = limits.get(found.registration.service, DEFAULT_CONNECTIONS)
         return max(0, limit - found.slots) // (len(self._peers) + 1)
 
-    def drop(self, found):
+    def remove_pool(self, found):
         """Close the idle connections to a target that is gone."""
         pool = self._pools.pop(found, None)
         if pool is not None:
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -133,8 +133,8 @@
         demand = admission.Demand(
             self._service,
             rank,
-            received_at + objective_s - load_shedding.FIRST_EVENT_S,
-            received_at + time_s * load_shedding.LONGEST_SHARE,
+            received_at + objective_s - load_shedding.FIRST_EVENT_LATENCY_S,
+            received_at + time_s * load_shedding.MAX_WAIT_SHARE,
             workspace="" if self._workspace is None else self._workspace.name,
         )
         while True:
@@ -171,12 +171,12 @@
             kind=self._route.kind,
             service=self._service,
             attempt=self._progress.attempts + 1,
-            free=line.free,
-            places=line.places,
-            waiting=line.waiting,
+            free=line.free_slots,
+            places=line.slots,
+            waiting=line.queued,
             expected_s=load_shedding.estimate_wait(line),
         )
-        return await self._admission.wait(demand, avoid if line.places > 0 else ())
+        return await self._admission.wait(demand, avoid if line.slots > 0 else ())
 
     async def _send(self, target):
         left_s = self._ends_at - time.monotonic()
@@ -216,14 +216,14 @@
         )
         sink = self._sink
         loop = asyncio.get_running_loop()
-        with self._health.watch(
+        with self._health.watch_for_silence(
             target, self._route.objective_s, lambda: sink.status, loop.call_later
         ):
             outcome = await self._pools(target).send(request, sink)
         if outcome.end == upstream.End.NOT_RUN:
             self._sent = self._progress.runs > 0
         seen = self._place.online + self._place.batch
-        self._health.note_outcome(target, outcome, seen < target.slots / 2)
+        self._health.observe_outcome(target, outcome, seen < target.slots / 2)
         return outcome
 
     async def _judge(self, outcome):
@@ -233,8 +233,8 @@
             return self._decide_again(self._progress.refusals < MAX_REFUSALS)
         self._progress.runs += 1
         self._status = outcome.status
-        more = self._route.repeatable and self._progress.runs < self._route.max_attempts
-        if outcome.end == upstream.End.CUT:
+        more = self._route.can_retry and self._progress.runs < self._route.max_attempts
+        if outcome.end == upstream.End.INCOMPLETE:
             return self._decide_again(more)
         if self._sink.passing:
             return self._end_stream(more)
@@ -273,7 +273,7 @@
             503,
             "busy",
             "All targets are busy. Come back after the time in Retry-After.",
-            retry_after=load_shedding.make_retry_after(line),
+            retry_after=load_shedding.compute_retry_after(line),
         )
         self._status = 503
         await self._exchange.refuse(refusal)
@@ -354,7 +354,7 @@
             pause_s=self._sink.longest_pause_s,
             took_s=now - received_at,
             configuration=version,
-            free=line.free,
-            places=line.places,
-            waiting=line.waiting,
+            free=line.free_slots,
+            places=line.slots,
+            waiting=line.queued,
         )
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -38,7 +38,7 @@
         self.out_of_order = False
         self._splitter = event.EventSplitter()
 
-    async def take_head(self, status, headers, answer):
+    async def on_headers(self, status, headers, answer):
         """Take the head; see `upstream.Sink`."""
         self.status = status
         self.headers = headers
@@ -46,7 +46,7 @@
             self._streaming and status == 200 and answer.signed and not answer.encoded
         )
 
-    async def take_chunk(self, chunk):
+    async def on_chunk(self, chunk):
         """Take some bytes; see `upstream.Sink`."""
         if self.passing:
             await self._pass_events(chunk)
--- a/pimentowick/gateway/route.py
+++ b/pimentowick/gateway/route.py
@@ -57,7 +57,7 @@
     is_public: bool = False
 
     @property
-    def repeatable(self):
+    def can_retry(self):
         """Whether a request that may have run can be sent again."""
         if self.kind == Kind.STREAM:
             return self.resumable
@@ -138,7 +138,7 @@
                 return route
         return None
 
-    def find_limited(self, name):
+    def find_rate_limited(self, name):
         """Return a `workspace.Workspace` whose requests are limited, or None."""
         if self.workspaces is None:
             return None
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -171,7 +171,7 @@
                 running.setdefault(run.target.id, []).append(run)
         for runs in running.values():
             target = runs[0].target
-            peers = self.neighbours.get_batch_counts(target.id)
+            peers = self.neighbours.get_peer_batch_counts(target.id)
             count = preemption.count_preemptions(target, self._name, peers)
             runs.sort(key=lambda run: run.steps_done)
             for run in runs[:count]:
@@ -181,8 +181,8 @@
                     run.item.id,
                     job=run.job.id,
                     target=target.id,
-                    online=target.all_online,
-                    batch=target.all_batch,
+                    online=target.total_online,
+                    batch=target.total_batch,
                     slots=target.slots,
                     events=run.steps_done,
                 )
@@ -238,7 +238,9 @@
 
     def _make_run(self, found, number, route):
         made = transcript.Transcript(self._storage, found, number)
-        taken = self._service_times.setdefault(route.name, service_time.ServiceTime())
+        taken = self._service_times.setdefault(
+            route.name, service_time.ServiceTimeEstimator()
+        )
         return execution.Run(found, route, route.choose_service(), made, taken)
 
     def _take_contents(self, job_id, named):
@@ -326,7 +328,7 @@
         for run in ready:
             by_service.setdefault(run.service, []).append(run)
         pending = {
-            service: round(batch_queue.weigh_pending(runs, now), 1)
+            service: round(batch_queue.sum_pending_weight(runs, now), 1)
             for service, runs in by_service.items()
         }
         if pending != self.neighbours.pending:
@@ -337,10 +339,12 @@
         """Start as many items as are this entry's share of the free places."""
         allowed = {}
         for service in {run.service for run in ready}:
-            room = target_choice.count_room(self._table.list_service(service), now)
+            room = target_choice.count_batch_capacity(
+                self._table.list_service(service), now
+            )
             own = self.neighbours.pending.get(service, 0)
             others = max(0, self.neighbours.peers_pending[service])
-            allowed[service] = batch_queue.count_starts(room, own, others)
+            allowed[service] = batch_queue.compute_entry_share(room, own, others)
         for run in ready:
             if not allowed[run.service]:
                 continue
@@ -352,7 +356,7 @@
                 continue
             allowed[run.service] -= 1
             # What starts here is known to the others only after that.
-            self._next_round_at = now + self.neighbours.round_s
+            self._next_round_at = now + self.neighbours.propagation_delay_s
             self._start(run, target)
 
     def _start(self, run, target):
@@ -361,8 +365,8 @@
             run.item.id,
             job=run.job.id,
             target=target.id,
-            online=target.all_online,
-            batch=target.all_batch,
+            online=target.total_online,
+            batch=target.total_batch,
             slots=target.slots,
             after_event=run.transcript.last_event,
             left_s=run.left_s,
@@ -435,7 +439,7 @@
     async def _run_item(self, run, target):
         started_at = time.monotonic()
         outcome, sink = await execution.send(run, target, self._pools(target))
-        self._health.note_outcome(target, outcome)
+        self._health.observe_outcome(target, outcome)
         self._metrics.count_item(outcome.why)
         decision.note_request(
             "item.ran",
@@ -450,21 +454,21 @@
             took_s=time.monotonic() - started_at,
             due_in_s=run.due_at - time.time(),
         )
-        run.service_time.note_run(sink.events, time.monotonic() - started_at)
+        run.service_time.record_run(sink.events, time.monotonic() - started_at)
         self._release(run)
         await self._conclude(run, outcome, sink)
 
     async def _conclude(self, run, outcome, sink):
-        if outcome.end == upstream.End.WHOLE and outcome.status == 200:
+        if outcome.end == upstream.End.COMPLETE and outcome.status == 200:
             if sink.is_whole() and run.transcript.last_event is not None:
-                run.service_time.note_item(run.transcript.count_events())
+                run.service_time.record_item(run.transcript.count_events())
                 run.is_whole = True
                 await run.transcript.finish(RECORD_TIMEOUT_S)
                 return
-        if outcome.end == upstream.End.WHOLE and outcome.status == 422:
+        if outcome.end == upstream.End.COMPLETE and outcome.status == 422:
             await self._list_dead(run, "impossible")
             return
-        if outcome.end == upstream.End.WHOLE and outcome.status == 500:
+        if outcome.end == upstream.End.COMPLETE and outcome.status == 500:
             await run.transcript.note_failure(RECORD_TIMEOUT_S)
         if sink.events:
             run.failures = 0
--- a/pimentowick/gateway/target.py
+++ b/pimentowick/gateway/target.py
@@ -68,12 +68,12 @@
         return self.registration.slots
 
     @property
-    def all_online(self):
+    def total_online(self):
         """Online requests of all entries."""
         return self.online + self.peers_online
 
     @property
-    def all_batch(self):
+    def total_batch(self):
         """Batch items of all entries."""
         return self.batch + self.peers_batch
 
@@ -91,20 +91,20 @@
     """All targets, by identifier and by service.
 
     Args:
-        on_gone: Function that gets a `Target` that is no longer listed or started
+        on_removed: Function that gets a `Target` that is no longer listed or started
             anew.
-        on_new: Function that gets the identifier of a target that is listed for the
+        on_added: Function that gets the identifier of a target that is listed for the
             first time, or was started anew.
 
     Attributes:
         by_id: The `Target` objects.
     """
 
-    def __init__(self, on_gone=lambda target: None, on_new=lambda target_id: None):
+    def __init__(self, on_removed=lambda target: None, on_added=lambda target_id: None):
         self.by_id = {}
         self._by_service = {}
-        self._on_gone = on_gone
-        self._on_new = on_new
+        self._on_gone = on_removed
+        self._on_new = on_added
 
     def put(self, registration):
         """Take a registration."""
--- a/pimentowick/gateway/tests/test_handover.py
+++ b/pimentowick/gateway/tests/test_handover.py
@@ -63,7 +63,7 @@
     async def run():
         found, ours, others = make_handover({1})
         tell_parts(others, 1, [1])
-        others.peers["other:2"].heard_at -= neighbour.SILENT_S
+        others.peers["other:2"].last_heard_at -= neighbour.PEER_HEARTBEAT_TIMEOUT_S
         await found.take_over()
         assert ours.owned == {1}
 
@@ -115,7 +115,7 @@
         task = asyncio.create_task(found.take_over())
         await asyncio.sleep(0.1)
         tell_parts(others, 1, [1])
-        others._started_at -= neighbour.LISTEN_S
+        others._started_at -= neighbour.DISCOVERY_S
         await asyncio.sleep(0.1)
         assert not ours.owned
         tell_parts(others, 2, [])
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -439,7 +439,7 @@
         cut._supervisor.stop_child("ownership")
         site.store.board.place(faults.Order("stall"))
         found = cut.ownership._reachability
-        found.see_others = lambda now, others_renewed_at: False
+        found.observe_peers = lambda now, others_renewed_at: False
         found._passed_at, found._is_proved = time.monotonic(), True
         cut.store.reached_at = float("-inf")
         answer = await asyncio.wait_for(submit(site, make_body(2)), 5)
--- a/pimentowick/gateway/tests/test_neighbour.py
+++ b/pimentowick/gateway/tests/test_neighbour.py
@@ -5,22 +5,24 @@
 
 from pimentowick.fakes import platform_site, replica, wait
 from pimentowick.gateway import admission, neighbour, target
-from pimentowick.gateway.policy import news_relay, outlier_detection, quota
+from pimentowick.gateway.policy import outlier_detection, quota, report_relay
 
 ROUTES = [platform_site.make_route("/chat/", "stream", resumable=True)]
 
 
 def make_neighbours():
-    table = target.TargetTable(on_new=lambda target_id: found.tell_target(target_id))
+    table = target.TargetTable(
+        on_added=lambda target_id: found.update_target_load(target_id)
+    )
     line = admission.Admission(table, "a")
     news = []
     found = neighbour.Neighbours(
         "me:1",
-        news_relay.NewsRelay("me:1", "a", 100.0),
+        report_relay.ReportRelay("me:1", "a", 100.0),
         table,
         line,
         outlier_detection.OutlierDetection("a"),
-        quota.SharedCount(),
+        quota.SharedQuota(),
         lambda: news.append(1),
     )
     table.put(target.Registration("t", "s", "127.0.0.1", 1, "a", 8))
@@ -39,7 +41,7 @@
     tell(found, 1, {"t": [1, 0]}, sender="third:3")
     assert (seen.peers_online, seen.peers_batch) == (3, 1)
     assert line.peers_waiting["s"] == 3
-    assert found.get_batch_counts("t") == {"other:2": 1}
+    assert found.get_peer_batch_counts("t") == {"other:2": 1}
     assert len(news) == 2
 
 
@@ -75,13 +77,13 @@
     found, seen, _, news = make_neighbours()
     tell(found, 1, {"t": [5, 2]})
     peer = found.peers["other:2"]
-    peer.heard_at -= neighbour.SILENT_S + 1
+    peer.last_heard_at -= neighbour.PEER_HEARTBEAT_TIMEOUT_S + 1
     found._drop_silent()
     assert (seen.peers_online, seen.peers_batch) == (0, 0)
     assert len(news) == 2
     tell(found, 0.5, {"t": [1, 0]})
     assert seen.peers_online == 1
-    peer.heard_at -= neighbour.FORGET_S
+    peer.last_heard_at -= neighbour.PEER_EXPIRY_S
     found._drop_silent()
     assert not found.peers
 
@@ -131,7 +133,7 @@
 def test_entries_hear_of_each_other_through_relays(monkeypatch):
     # Many entries in two failure domains tell each other through one entry of each.
     # Not heard, a request's place would be given to others as well.
-    monkeypatch.setattr(neighbour, "RELAYED_FROM", 1)
+    monkeypatch.setattr(neighbour, "RELAY_MIN_PEERS", 1)
     server = replica.Replica(events=4000, gap_s=0.02)
 
     async def run():
@@ -160,7 +162,7 @@
 def count_known(site):
     """Return the online requests at the target as the entries know them."""
     return {
-        found.all_online
+        found.total_online
         for each in site.gateways
         for found in each.table.by_id.values()
     }
@@ -179,7 +181,7 @@
 
 def test_entry_whose_items_give_way_is_told_at_once(monkeypatch):
     # Told by relays only, it would take its items off a tenth of a second later.
-    monkeypatch.setattr(neighbour, "RELAYED_FROM", 1)
+    monkeypatch.setattr(neighbour, "RELAY_MIN_PEERS", 1)
     found, seen, _, _ = make_neighbours()
     tell(found, 1, {"t": [0, 8]})
     tell(found, 1, {"t": [3, 0]}, sender="third:3")
--- a/pimentowick/gateway/tests/test_outlier_detection.py
+++ b/pimentowick/gateway/tests/test_outlier_detection.py
@@ -18,10 +18,10 @@
 
     def exchange(self, now):
         for number, entry in enumerate(self.found):
-            told = entry.describe(now)
+            told = entry.build_report(now)
             for other in self.found:
                 if other is not entry:
-                    other.replace(number, entry.failure_domain, told)
+                    other.update_peer(number, entry.failure_domain, told)
         self.resting = [set(entry.find_outliers(TARGETS, now)) for entry in self.found]
 
 
@@ -39,7 +39,7 @@
             target = draw.choice(usable)
             failed = is_bad(target, number, draw)
             bad += failed
-            entries.found[number].note(target, not failed, now)
+            entries.found[number].record_outcome(target, not failed, now)
         entries.exchange(now)
         rests += sum(len(resting - {"t0", "t1"}) for resting in entries.resting)
     return bad, rests / (seconds * 10 * 12 * 20)
@@ -79,7 +79,7 @@
         for number in range(12):
             for _ in range(3):
                 failed = is_bad("t0", number, draw)
-                entries.found[number].note("t0", not failed, tick / 10)
+                entries.found[number].record_outcome("t0", not failed, tick / 10)
         entries.exchange(tick / 10)
     near = [resting for n, resting in enumerate(entries.resting) if n % 3 == 0]
     far = [resting for n, resting in enumerate(entries.resting) if n % 3]
@@ -90,7 +90,7 @@
     found = outlier_detection.OutlierDetection("a")
     for target in TARGETS:
         for _ in range(9):
-            found.note(target, False, 0.0)
+            found.record_outcome(target, False, 0.0)
     assert len(found.find_outliers(TARGETS, 0.0)) == 4
     assert len(found.find_outliers(TARGETS[:2], 0.0)) == 1
     assert not found.find_outliers(TARGETS[:1], 0.0)
@@ -99,17 +99,17 @@
 def test_target_gets_requests_again_once_its_failures_have_faded():
     found = outlier_detection.OutlierDetection("a")
     for _ in range(6):
-        found.note("t0", False, 0.0)
+        found.record_outcome("t0", False, 0.0)
     assert found.find_outliers(TARGETS, 0.5) == {"t0": pytest.approx(6 * 0.5**0.25)}
     assert not found.find_outliers(TARGETS, 2.5)
-    assert found.describe(60.0) == {}
+    assert found.build_report(60.0) == {}
 
 
 def test_two_neighbours_have_to_agree_and_one_that_is_gone_is_not_counted():
     found = outlier_detection.OutlierDetection("a")
-    found.replace("p", "b", {"t0": [9.0, 1.0]})
+    found.update_peer("p", "b", {"t0": [9.0, 1.0]})
     assert not found.find_outliers(TARGETS)
-    found.replace("q", "b", {"t0": [2.0, 1.0]})
+    found.update_peer("q", "b", {"t0": [2.0, 1.0]})
     assert list(found.find_outliers(TARGETS)) == ["t0"]
-    found.replace("p", "b", {})
+    found.update_peer("p", "b", {})
     assert not found.find_outliers(TARGETS)
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -143,7 +143,7 @@
             since = time.monotonic()
 
             def is_replaced():
-                return one.neighbours.get_newest_renewal() > since
+                return one.neighbours.get_latest_peer_renewal() > since
 
             await wait.wait_for(lambda: one.neighbours.peers, 10, 0.01)
             await wait.wait_for(is_replaced, 10, 0.01)
@@ -153,7 +153,7 @@
             other.neighbours._transport.abort()
             other.neighbours._transport = None
             for peer in one.neighbours.peers.values():
-                peer.heard_at -= neighbour.SILENT_S
+                peer.last_heard_at -= neighbour.PEER_HEARTBEAT_TIMEOUT_S
             assert is_replaced()
 
     asyncio.run(run())
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -16,7 +16,7 @@
             [replica.Replica()], [CHAT], entries, [TENANT], revoke_s=5.0
         ) as site:
             if entries > 1:
-                heard = [found.neighbours.list_heard for found in site.gateways]
+                heard = [found.neighbours.list_live_peers for found in site.gateways]
                 await wait.wait_for(lambda: all(one() for one in heard), 10, 0.01)
             await check(site)
 
@@ -70,7 +70,7 @@
         proved_at = max(feed.proved_at for feed in feeds)
         for gateway, other in zip(site.gateways, reversed(site.gateways), strict=True):
             address = other.neighbours.address
-            await gateway._peer_configuration.ask(address)
+            await gateway._peer_configuration.fetch_from_peer(address)
         # Each is as old as the youngest, and no younger.
         assert all(feed.proved_at <= proved_at for feed in feeds)
         assert await send(site, "k3y-1") == 503
@@ -99,7 +99,7 @@
     async def check(site):
         body = b'{"version": 1, "age_s": 1.0, "record": null}'
         feed, asked = make_asked(site.gateways[0], body, [100.0, 104.0, 104.0])
-        await asked.ask("127.0.0.1:1")
+        await asked.fetch_from_peer("127.0.0.1:1")
         assert feed.proved_at == 99.0
 
     run_with(check)
@@ -121,7 +121,7 @@
 def test_answer_that_proves_nothing_changes_nothing(body):
     async def check(site):
         feed, asked = make_asked(site.gateways[0], body, [100.0] * 5)
-        await asked.ask("127.0.0.1:1")
+        await asked.fetch_from_peer("127.0.0.1:1")
         assert feed.proved_at == 0.0
         assert site.gateways[0].configuration.current.version == 1
 
--- a/pimentowick/gateway/tests/test_policy.py
+++ b/pimentowick/gateway/tests/test_policy.py
@@ -55,8 +55,8 @@
 
 
 def choose_least_busy(targets):
-    usable = [each for each in targets if each.all_online < each.slots]
-    return min(usable, key=lambda each: (each.all_online, random.random()))
+    usable = [each for each in targets if each.total_online < each.slots]
+    return min(usable, key=lambda each: (each.total_online, random.random()))
 
 
 def count_crowded(choose, seed):
@@ -66,7 +66,7 @@
     targets = make_targets(22, slots=7)
     for each in targets:
         each.peers_online = draw.choice([4, 5, 6, 6, 7])
-    counts = {each.id: each.all_online for each in targets}
+    counts = {each.id: each.total_online for each in targets}
     for _ in range(14):
         counts[choose(targets).id] += 1
     return sum(max(0, count - 7) for count in counts.values())
@@ -138,7 +138,7 @@
     waiting = [draw.randrange(1, 12) for _ in range(8)]
     room = draw.randrange(1, 30)
     started = sum(
-        batch_queue.count_starts(room, own, sum(waiting) - own, draw.random)
+        batch_queue.compute_entry_share(room, own, sum(waiting) - own, draw.random)
         for own in waiting
     )
     wanted = min(room, sum(waiting))
@@ -153,13 +153,13 @@
     places = 24
     outcomes = collections.Counter()
     for waiting in range(60):
-        line = load_shedding.Line(places, 0, waiting, hold_s)
+        line = load_shedding.QueueState(places, 0, waiting, hold_s)
         shed = load_shedding.should_shed(line, objective_s)
         in_time = (waiting + 1) * hold_s / places + 0.08 <= objective_s
         assert shed != in_time
         outcomes[shed] += 1
         if shed:
-            again_s = load_shedding.make_retry_after(line)
+            again_s = load_shedding.compute_retry_after(line)
             assert 0.1 <= again_s <= 1.5
     assert outcomes[False] == 6
 
@@ -167,22 +167,22 @@
 def test_short_objective_does_not_make_every_wait_too_long():
     # A service answers within 20 ms and promises 50: a request waits the millisecond
     # until a place is free.
-    assert not load_shedding.should_shed(load_shedding.Line(18, 0, 0, 0.02), 0.05)
+    assert not load_shedding.should_shed(load_shedding.QueueState(18, 0, 0, 0.02), 0.05)
 
 
 def test_late_request_waits_as_long_as_its_answer_is_of_use():
     # In a wave twenty requests more than places wait. Told to come back, their
     # callers are late as well, and most are refused again.
-    line = load_shedding.Line(40, 0, 20, 0.8)
+    line = load_shedding.QueueState(40, 0, 20, 0.8)
     assert load_shedding.should_shed(line, 0.3)
     assert not load_shedding.should_shed(line, 0.3, 2.0)
     assert load_shedding.should_shed(line, 0.3, 1.0)
 
 
 def test_without_any_target_a_caller_is_not_held():
-    line = load_shedding.Line(0, 0, 0, 0.5)
+    line = load_shedding.QueueState(0, 0, 0, 0.5)
     assert load_shedding.should_shed(line, 10.0)
-    assert load_shedding.make_retry_after(line) == load_shedding.LONGEST_RETRY_S
+    assert load_shedding.compute_retry_after(line) == load_shedding.MAX_RETRY_AFTER_S
 
 
 Item = collections.namedtuple("Item", "due_at steps_done left_s", defaults=(0.0,))
@@ -197,7 +197,9 @@
 def test_item_that_cannot_be_done_in_time_leaves_its_place_to_one_that_can():
     late, early = Item(14, 0, 5.0), Item(30, 0, 5.0)
     assert batch_queue.order_items([late, early], 10) == [early, late]
-    assert batch_queue.weigh_pending([late, early], 10) == (1 + batch_queue.LATE_WEIGHT)
+    assert batch_queue.sum_pending_weight([late, early], 10) == (
+        1 + batch_queue.LATE_ITEM_WEIGHT
+    )
 
 
 class RunningItem:
--- a/pimentowick/gateway/tests/test_quota.py
+++ b/pimentowick/gateway/tests/test_quota.py
@@ -40,17 +40,17 @@
     def hears(self, one, other, now):
         return now < self.split_at or self.groups[one] == self.groups[other]
 
-    def note_members(self, now):
+    def update_member_counts(self, now):
         # Silence is noticed some time after it began.
         noticed = now - 1.2
         for index, each in enumerate(self.quotas):
             heard = sum(
                 self.hears(index, other, noticed) for other in range(len(self.quotas))
             )
-            each.note_members(len(self.quotas), heard)
+            each.update_member_counts(len(self.quotas), heard)
 
     def tell(self, index, now, queue):
-        rows = self.quotas[index].describe(now)
+        rows = self.quotas[index].build_report(now)
         for other in range(len(self.quotas)):
             if other == index or not self.hears(index, other, now):
                 continue
@@ -80,9 +80,9 @@
                 else:
                     self.passed.append((now, name))
             elif kind == 1:
-                self.quotas[index].note_report(name, rows, limits.get, now)
+                self.quotas[index].merge_report(name, rows, limits.get, now)
             else:
-                self.note_members(now)
+                self.update_member_counts(now)
                 self.tell(index, now, queue)
 
     def count_most(self, name):
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(("count", "factor"), [(9, 2.9), (33, 4.4), (56, 7.5)])
 def test_hot_workspace_keeps_its_limit_over_all_entries(factor, count):
     # Every entry sees a few requests a second and lets them through by itself.
-    fleet = Fleet(quota.SharedCount, count, loss=0.05)
+    fleet = Fleet(quota.SharedQuota, count, loss=0.05)
     demand = {"hot": LIMIT.rate_per_s / 1.6 * factor, "calm": 2.0}
     fleet.play(demand, 30.0, dict.fromkeys(demand, LIMIT))
     # News that is on its way as the limit is reached.
@@ -116,14 +116,14 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_workspace_within_its_limit_is_not_refused(seed):
     # Less than one request a second and entry: an even share of the limit refuses most.
-    counted = Fleet(quota.SharedCount, 33, loss=0.05, seed=seed)
+    counted = Fleet(quota.SharedQuota, 33, loss=0.05, seed=seed)
     demand = {"calm": 2.0}
     counted.play(demand, 30.0, {"calm": LIMIT})
     assert counted.refused == 0
 
 
 def test_even_shares_refuse_what_lies_within_the_limit():
-    shares = Fleet(quota.FixedShare, 33)
+    shares = Fleet(quota.EvenShareQuota, 33)
     shares.play({"calm": 2.0}, 30.0, {"calm": LIMIT})
     assert shares.refused > len(shares.passed) / 5
 
@@ -132,7 +132,7 @@
 def test_entries_that_do_not_hear_each_other_keep_the_limit_together(groups):
     # A third is cut off, all from all: each would let the whole limit through.
     count = 33
-    fleet = Fleet(quota.SharedCount, count)
+    fleet = Fleet(quota.SharedQuota, count)
     alone = [index % groups + 1 if index < count // 3 else 0 for index in range(count)]
     fleet.split(10.0, alone)
     demand = {"hot": 20.0}
@@ -145,15 +145,15 @@
 
 def test_entry_that_was_just_started_does_not_give_all_out_again():
     # All are killed and return at once: a full bucket would be spent a second time.
-    found = quota.SharedCount(started_at=10.0)
-    found.note_members(known=33, heard=0)
+    found = quota.SharedQuota(started_at=10.0)
+    found.update_member_counts(known=33, heard=0)
     passed = [found.take("w", LIMIT, 10.1) for _ in range(5)]
     assert passed.count(0.0) == 1
 
 
 def test_limit_that_falls_binds_at_once_and_one_that_rises_too():
-    found = quota.SharedCount()
-    found.note_members(1, 1)
+    found = quota.SharedQuota()
+    found.update_member_counts(1, 1)
     small = quota.Limit(1.0, 1.0)
     assert not found.take("w", LIMIT, 0.0)
     assert not found.take("w", small, 0.0)
@@ -162,40 +162,40 @@
 
 
 def test_request_that_has_not_run_is_given_back():
-    found = quota.SharedCount()
-    found.note_members(1, 1)
+    found = quota.SharedQuota()
+    found.update_member_counts(1, 1)
     small = quota.Limit(1.0, 1.0)
     assert not found.take("w", small, 0.0)
-    found.give_back("w", 0.0)
+    found.refund("w", 0.0)
     assert not found.take("w", small, 0.0)
-    assert found.describe(0.0)["w"][1] == 1
+    assert found.build_report(0.0)["w"][1] == 1
 
 
 def test_lost_report_is_made_up_for_by_the_next():
-    here, there = quota.SharedCount(), quota.SharedCount()
+    here, there = quota.SharedQuota(), quota.SharedQuota()
     for each in (here, there):
-        each.note_members(2, 2)
+        each.update_member_counts(2, 2)
     for step in range(5):
         assert not here.take("w", LIMIT, 10.9 + step * 0.05)
-    report = here.describe(11.5)
-    there.note_report("here", report, lambda name: LIMIT, 11.5)
+    report = here.build_report(11.5)
+    there.merge_report("here", report, lambda name: LIMIT, 11.5)
     wait_s = there.take("w", LIMIT, 11.5)
     assert wait_s > 0.0
-    there.note_report("here", report, lambda name: LIMIT, 11.5)
+    there.merge_report("here", report, lambda name: LIMIT, 11.5)
     assert there.take("w", LIMIT, 11.5) == wait_s
 
 
 def test_state_grows_with_the_workspaces_that_are_busy():
-    found = quota.SharedCount()
-    found.note_members(1, 1)
+    found = quota.SharedQuota()
+    found.update_member_counts(1, 1)
     for number in range(1300):
         found.take(f"w{number}", LIMIT, number * 0.01)
-        found.note_report(f"e{number % 300}", {f"w{number}": (0, 1, 0)}, {}.get, 0.0)
+        found.merge_report(f"e{number % 300}", {f"w{number}": (0, 1, 0)}, {}.get, 0.0)
     found.take("last", LIMIT, 60.0)
     found.take("last", LIMIT, 70.0)
     assert found.count_buckets() <= 2
     assert not found._heard
-    assert set(found.describe(70.0)) == {"last"}
+    assert set(found.build_report(70.0)) == {"last"}
 
 
 PAUSES = strategies.lists(strategies.floats(0.0, 2.0), min_size=1, max_size=80)
@@ -205,8 +205,8 @@
 @SAME_VERDICT
 @hypothesis.given(PAUSES)
 def test_entry_alone_never_passes_its_limit_in_any_window(pauses):
-    found = quota.SharedCount()
-    found.note_members(1, 1)
+    found = quota.SharedQuota()
+    found.update_member_counts(1, 1)
     now = 0.0
     passed = []
     for pause in pauses:
@@ -221,10 +221,10 @@
 @SAME_VERDICT
 @hypothesis.given(PAUSES, strategies.integers(1, 3), strategies.randoms())
 def test_reports_that_come_twice_or_are_lost_count_each_take_once(pauses, times, draw):
-    here, there = quota.SharedCount(), quota.SharedCount()
+    here, there = quota.SharedQuota(), quota.SharedQuota()
     wide = quota.Limit(1.0, 1000.0)
     for each in (here, there):
-        each.note_members(2, 2)
+        each.update_member_counts(2, 2)
     now = told_at = 10.0
     there.take("w", wide, now)
     taken = 0
@@ -235,8 +235,10 @@
         if draw.random() < 0.7 or now - told_at > 0.5:
             told_at = now
             for _ in range(times):
-                there.note_report("here", here.describe(now), lambda name: wide, now)
-    there.note_report("here", here.describe(now), lambda name: wide, now)
+                there.merge_report(
+                    "here", here.build_report(now), lambda name: wide, now
+                )
+    there.merge_report("here", here.build_report(now), lambda name: wide, now)
     gained = now - 10.0
     level = there._buckets["w"].level
     assert level <= 1000.0
@@ -246,7 +248,7 @@
 def test_large_hot_workspace_stays_within_what_the_rule_allows_amid_a_cut():
     # Entries that are cut off, each alone, go on by the whole limit until they notice.
     limit = quota.Limit(rate_per_s=44.0, burst=44.0)
-    fleet = Fleet(quota.SharedCount, 33)
+    fleet = Fleet(quota.SharedQuota, 33)
     fleet.split(4.0, [index + 1 if index < 11 else 0 for index in range(33)])
     fleet.play({"hot": 380.0}, 12.0, {"hot": limit})
     assert fleet.count_most("hot") <= 1.1 * count_allowed(limit) + 20
--- a/pimentowick/gateway/tests/test_reachability.py
+++ b/pimentowick/gateway/tests/test_reachability.py
@@ -25,11 +25,11 @@
 
     def step(self, now, others_renewed_at):
         """Do what is due at a time, some milliseconds after the step before."""
-        sees = self._found.see_others(now, others_renewed_at)
+        sees = self._found.observe_peers(now, others_renewed_at)
         if self._began_at is None:
             if sees or now >= self._next_at:
                 self._began_at = now
-                self._found.begin(now)
+                self._found.start_attempt(now)
         else:
             self._look_at_try(now, sees)
         if self.cut_off_at is None and self._found.is_cut_off(now, -math.inf):
@@ -39,16 +39,16 @@
         took_s = now - self._began_at
         answer_s = self._answer(self._began_at)
         if 0 <= answer_s <= took_s:
-            self._found.succeed()
+            self._found.record_success()
             self.renewed_at = now
             self._end(now + 0.45)
         elif sees or took_s >= min(1.0, abs(answer_s)):
             self.broken_off += sees
-            self._found.fail()
+            self._found.record_failure()
             self._end(now if sees else now + 0.45)
 
     def _end(self, next_at):
-        self._found.end()
+        self._found.end_attempt()
         self._began_at = None
         self._next_at = next_at
 
@@ -117,9 +117,9 @@
 def test_store_that_serves_other_calls_has_turned_nobody_away():
     found = reachability.Reachability()
     for now in (1.0, 2.0):
-        found.begin(now)
-        found.fail()
-        found.end()
-        found.see_others(now + 0.5, now + 0.4)
+        found.start_attempt(now)
+        found.record_failure()
+        found.end_attempt()
+        found.observe_peers(now + 0.5, now + 0.4)
     assert found.is_cut_off(3.0, served_at=1.2)
     assert not found.is_cut_off(3.0, served_at=1.8)
--- a/pimentowick/gateway/tests/test_news_relay.py
+++ b/pimentowick/gateway/tests/test_report_relay.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pimentowick.gateway.policy import news_relay
+from pimentowick.gateway.policy import report_relay
 
 DOMAINS = 5
 NEAR_S = 0.0001
@@ -43,7 +43,7 @@
 
     def start(self, name):
         self.dead.discard(name)
-        found = news_relay.NewsRelay(name, str(self.domain[name]), self.links[name])
+        found = report_relay.ReportRelay(name, str(self.domain[name]), self.links[name])
         for other in self.names:
             if other != name:
                 found.add(other, str(self.domain[other]), self.links[other])
@@ -78,15 +78,15 @@
     def tell(self, name, found):
         if self.is_running(name, found):
             report = {"from": name, "number": self.numbers[name]}
-            self.send(name, found.tell(report, self.now))
+            self.send(name, found.bundle_own_report(report, self.now))
 
     def collect(self, name, found):
         if self.is_running(name, found):
-            if found.is_acting(self.now):
-                self.send(name, found.collect(self.now))
-            elif found.has_moved(self.now):
+            if found.is_relaying(self.now):
+                self.send(name, found.bundle_pending_reports(self.now))
+            elif found.has_relay_changed(self.now):
                 self.tell(name, found)
-            self.plan(news_relay.BUNDLE_S, self.collect, name, found)
+            self.plan(report_relay.BUNDLE_INTERVAL_S, self.collect, name, found)
 
     def send(self, name, bundles):
         for bundle in bundles:
@@ -106,10 +106,10 @@
         if receiver in self.dead or self.is_apart(sender, receiver):
             return
         found = self.relays[receiver]
-        if bundle.asks:
-            found.note_asked(sender, bundle.reports, self.now)
+        if bundle.must_forward:
+            found.on_forward_request(sender, bundle.reports, self.now)
         else:
-            found.note_told(sender, bundle.relays, self.now)
+            found.on_bundle(sender, bundle.relays, self.now)
         for report in bundle.reports:
             name, number = report["from"], report["number"]
             if name != receiver and number > self.known[receiver].get(name, 0):
@@ -120,7 +120,7 @@
         return [
             name
             for name in self.names
-            if name not in self.dead and self.relays[name].is_acting(self.now)
+            if name not in self.dead and self.relays[name].is_relaying(self.now)
         ]
 
     def count_stale(self, older_s):
@@ -153,7 +153,7 @@
     # Datagrams a second: some for each entry, in place of the square.
     assert sum(fleet.sent.values()) / 3.0 < 60 * count
     # Those between failure domains don't grow with the entries.
-    assert fleet.far / 3.0 < DOMAINS * DOMAINS / news_relay.BUNDLE_S
+    assert fleet.far / 3.0 < DOMAINS * DOMAINS / report_relay.BUNDLE_INTERVAL_S
     # The relays are entries with the larger links.
     assert {fleet.links[name] for name in fleet.list_relays()} == {300.0}
 
--- a/pimentowick/gateway/tests/test_request_order.py
+++ b/pimentowick/gateway/tests/test_request_order.py
@@ -39,7 +39,7 @@
                 admission.Demand("s", (0, 0), start_by, give_up_at, False, name, turn)
             )
         line = [entry for entry in line if entry.give_up_at > now]
-        line.sort(key=lambda entry: request_order.rank(entry, now))
+        line.sort(key=lambda entry: request_order.compute_sort_key(entry, now))
         while free and line:
             entry = line.pop(0)
             turns.note_served(entry.turn)
@@ -81,5 +81,5 @@
         make(turn=0.0, start_by=1.0),
         make(rank=(1, 0)),
     ]
-    ranked = sorted(order, key=lambda entry: request_order.rank(entry, 5.0))
+    ranked = sorted(order, key=lambda entry: request_order.compute_sort_key(entry, 5.0))
     assert ranked == order
--- a/pimentowick/gateway/tests/test_wave.py
+++ b/pimentowick/gateway/tests/test_wave.py
@@ -88,7 +88,7 @@
         coming = sum(online) / HOLD_S * self.lag_s if self.spread else 1.0
         domain = f"d{self.draw.randrange(5)}"
         chosen = target_choice.choose_for_online(
-            self.views, 0.0, domain, coming=coming, draw=self.draw.random
+            self.views, 0.0, domain, expected_sends=coming, draw=self.draw.random
         )
         if chosen is None:
             self.plan(0.05, self.send)
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -51,11 +51,11 @@
 class End(enum.Enum):
     """How a request at a target ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     """The whole answer came."""
     NOT_RUN = "not_run"
     """No byte left, or the target stated that the request did not run."""
-    CUT = "cut"
+    INCOMPLETE = "cut"
     """The answer is missing or incomplete; the request may have run."""
 
 
@@ -91,11 +91,11 @@
     """Takes the answer to one request as it arrives."""
 
     @abc.abstractmethod
-    async def take_head(self, status, headers, answer):
+    async def on_headers(self, status, headers, answer):
         """Take status, headers and the `message.Answer` that they make."""
 
     @abc.abstractmethod
-    async def take_chunk(self, chunk):
+    async def on_chunk(self, chunk):
         """Take some bytes of the body."""
 
 
@@ -141,11 +141,11 @@
         nameless = self.answer.not_run and not self.answer.request_id
         self.stray = self.answer.request_id != self._request_id and not nameless
         if not self.stray and not self.answer.not_run:
-            await self._sink.take_head(start_line.code, headers, self.answer)
+            await self._sink.on_headers(start_line.code, headers, self.answer)
 
     async def data_received(self, chunk):
         if not self.stray and not self.answer.not_run:
-            await self._sink.take_chunk(chunk)
+            await self._sink.on_chunk(chunk)
 
     def finish(self):
         self.finished = True
@@ -198,22 +198,22 @@
     def _judge(self, reader):
         answer = reader.answer
         if answer is None:
-            return Outcome(End.CUT, "no_answer")
+            return Outcome(End.INCOMPLETE, "no_answer")
         if reader.stray:
-            return Outcome(End.CUT, "answer_to_another_request", reader.status)
+            return Outcome(End.INCOMPLETE, "answer_to_another_request", reader.status)
         if answer.misdirected:
             return Outcome(End.NOT_RUN, "misdirected", reader.status)
         if answer.not_run:
             return Outcome(End.NOT_RUN, "target_refused", reader.status)
         if not reader.finished:
-            return Outcome(End.CUT, "cut_short", reader.status)
+            return Outcome(End.INCOMPLETE, "cut_short", reader.status)
         if not reader.framed and self.stream.error is not None:
-            return Outcome(End.CUT, "reset", reader.status)
+            return Outcome(End.INCOMPLETE, "reset", reader.status)
         if not answer.signed:
-            return Outcome(End.CUT, "unsigned", reader.status)
+            return Outcome(End.INCOMPLETE, "unsigned", reader.status)
         if answer.encoded:
-            return Outcome(End.CUT, "encoded", reader.status)
-        return Outcome(End.WHOLE, "answered", reader.status)
+            return Outcome(End.INCOMPLETE, "encoded", reader.status)
+        return Outcome(End.COMPLETE, "answered", reader.status)
 
     def is_clean(self, now):
         """Return whether another request may follow."""
@@ -262,7 +262,7 @@
         try:
             outcome, kept = await connection.exchange(request, sink)
         except iostream.StreamClosedError:
-            outcome = Outcome(End.CUT, "closed")
+            outcome = Outcome(End.INCOMPLETE, "closed")
         finally:
             if kept and len(self._idle) < min(MAX_IDLE, self._get_max_idle()):
                 self._idle.append(connection)
