--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -154,7 +154,7 @@
         self._handover = handover.Handover(
             self.ownership, self.runner, self.storage, self.neighbours
         )
-        self.neighbours.get_held_parts = self._handover.list_held
+        self.neighbours.get_held_partitions = self._handover.list_held
         found_relay = relay.Relay(
             self.admission, self.pools.get, found_health, self.metrics
         )
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -101,12 +101,12 @@
         self._missing_since.pop(record.key, None)
         known = self._table.by_id.get(record.key)
         self._table.put(registration)
-        if known is None or known.registration.leaving != registration.leaving:
+        if known is None or known.registration.is_draining != registration.is_draining:
             decision.note_belief(
                 "target.listed",
                 target=record.key,
                 service=registration.service,
-                leaving=registration.leaving,
+                leaving=registration.is_draining,
                 slots=registration.slots,
             )
         self._on_change()
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -62,7 +62,7 @@
         while left:
             held = frozenset()
             if time.monotonic() - began_at < LONGEST_WAIT_S:
-                held = left & self._neighbours.list_peer_parts()
+                held = left & self._neighbours.list_peer_partitions()
             if left - held:
                 await self._refresh()
                 self._runner.own(self._runner.owned | (left - held))
--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/neighbour.py
@@ -96,8 +96,8 @@
         pending: Weight of the batch items queued here, by service; set by the runner.
         get_renewal_age: Function that returns the seconds since the store last renewed
             this entry's lease, or None.
-        get_held_parts: Function that returns the partitions of the batch work that this
-            entry holds.
+        get_held_partitions: Function that returns the partitions of the batch work
+            that this entry holds.
         get_limit: Function from the name of a workspace to its `quota.Limit`, or None.
         peers_pending: Weight of the batch items queued at other entries, by service.
     """
@@ -124,7 +124,7 @@
         self._peer_loads = {}
         self.pending = {}
         self.get_renewal_age = lambda: None
-        self.get_held_parts = lambda: ()
+        self.get_held_partitions = lambda: ()
         self.get_limit = lambda name: None
         self.peers_pending = collections.Counter()
 
@@ -232,7 +232,7 @@
         """Whether this entry has listened for long enough to hear all live entries."""
         return time.monotonic() - self._started_at >= DISCOVERY_S
 
-    def list_peer_parts(self):
+    def list_peer_partitions(self):
         """Return the partitions of the batch work that live peers report as held."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         heard = [
@@ -275,7 +275,7 @@
             "waiting": waiting,
             "pending": self.pending,
             "renewed_s_ago": None if age_s is None else round(age_s, AGE_DIGITS),
-            "parts": sorted(self.get_held_parts()),
+            "parts": sorted(self.get_held_partitions()),
             "failure_domain": self._outliers.failure_domain if failing else "",
             "failing": failing,
             "taken": self._quotas.build_report(time.monotonic()),
--- a/pimentowick/gateway/policy/quota.py
+++ b/pimentowick/gateway/policy/quota.py
@@ -55,7 +55,7 @@
 
     Attributes:
         limit: The `Limit` at the last refill.
-        level: Tokens left; negative if too many requests were admitted.
+        tokens: Tokens left; negative if too many requests were admitted.
         updated_at: Time of the last refill.
         period: Number of the newest period with requests admitted here.
         admitted: Requests admitted here in that period.
@@ -63,7 +63,7 @@
     """
 
     limit: Limit
-    level: float
+    tokens: float
     updated_at: float
     period: int = 0
     admitted: int = 0
@@ -114,12 +114,12 @@
         """
         self._clean(now)
         bucket = self._refill(workspace, limit, now)
-        if bucket.level < 1.0:
+        if bucket.tokens < 1.0:
             rate = limit.rate_per_s * self.share
             if not rate:
                 return PERIOD_S
-            return min(MAX_RETRY_AFTER_S, (1.0 - bucket.level) / rate)
-        bucket.level -= 1.0
+            return min(MAX_RETRY_AFTER_S, (1.0 - bucket.tokens) / rate)
+        bucket.tokens -= 1.0
         _count(bucket, 1, now)
         return 0.0
 
@@ -127,7 +127,7 @@
         """Return the token of an admitted request that did not run."""
         bucket = self._buckets.get(workspace)
         if bucket is not None:
-            bucket.level = min(self._get_capacity(bucket.limit), bucket.level + 1.0)
+            bucket.tokens = min(self._get_capacity(bucket.limit), bucket.tokens + 1.0)
             _count(bucket, -1, now)
 
     @abc.abstractmethod
@@ -163,7 +163,7 @@
             self._buckets[workspace] = bucket
             return bucket
         gained = (now - bucket.updated_at) * limit.rate_per_s * self.share
-        bucket.level = min(capacity, bucket.level + max(0.0, gained))
+        bucket.tokens = min(capacity, bucket.tokens + max(0.0, gained))
         bucket.updated_at = now
         bucket.limit = limit
         return bucket
@@ -177,7 +177,7 @@
             limit = bucket.limit
             idle_s = now - bucket.updated_at
             gained = idle_s * limit.rate_per_s * self.share
-            is_full = bucket.level + gained >= self._get_capacity(limit)
+            is_full = bucket.tokens + gained >= self._get_capacity(limit)
             if is_full and idle_s > REPORT_RETENTION_S:
                 del self._buckets[workspace]
 
@@ -269,7 +269,7 @@
             if requests:
                 bucket = self._refill(workspace, limit, now)
                 min_tokens = -MAX_DEBT_S * limit.rate_per_s
-                bucket.level = max(min_tokens, bucket.level - requests)
+                bucket.tokens = max(min_tokens, bucket.tokens - requests)
 
     def _clean(self, now):
         if now - self._cleaned_at >= CLEANUP_INTERVAL_S:
--- a/pimentowick/gateway/policy/reachability.py
+++ b/pimentowick/gateway/policy/reachability.py
@@ -35,9 +35,9 @@
         >>> reachability = Reachability()
         >>> reachability.start_attempt(10.0)
         >>> reachability.record_failure()
-        >>> reachability.observe_peers(10.2, others_renewed_at=9.9)
+        >>> reachability.observe_peers(10.2, peers_renewed_at=9.9)
         False
-        >>> reachability.observe_peers(10.6, others_renewed_at=10.5)
+        >>> reachability.observe_peers(10.6, peers_renewed_at=10.5)
         True
         >>> reachability.start_attempt(10.6)
         >>> reachability.record_failure()
@@ -48,8 +48,8 @@
     def __init__(self):
         self._attempt_started_at = None
         self._failing_since = None
-        self._passed_at = None
-        self._is_proved = False
+        self._peers_observed_at = None
+        self._is_confirmed = False
 
     @property
     def has_failed(self):
@@ -72,21 +72,24 @@
         """Record that the attempt in progress failed."""
         if self._failing_since is None:
             self._failing_since = self._attempt_started_at
-        if self._passed_at is not None and self._attempt_started_at >= self._passed_at:
-            self._is_proved = True
+        if (
+            self._peers_observed_at is not None
+            and self._attempt_started_at >= self._peers_observed_at
+        ):
+            self._is_confirmed = True
 
-    def observe_peers(self, now, others_renewed_at):
+    def observe_peers(self, now, peers_renewed_at):
         """Return whether peers are now first observed to reach the store.
 
         Args:
             now: Monotonic time, in seconds.
-            others_renewed_at: Time of the latest lease renewal of another entry.
+            peers_renewed_at: Time of the latest lease renewal of another entry.
         """
-        if self._passed_at is not None:
+        if self._peers_observed_at is not None:
             return False
-        if others_renewed_at <= self._get_failing_since(now) + IN_TRANSIT_S:
+        if peers_renewed_at <= self._get_failing_since(now) + IN_TRANSIT_S:
             return False
-        self._passed_at = now
+        self._peers_observed_at = now
         return True
 
     def is_cut_off(self, now, served_at):
@@ -97,11 +100,14 @@
             served_at: Send time of the latest call that the store answered. A store
                 that answers other calls is reachable, even if it loses some answers.
         """
-        if self._passed_at is None or served_at > self._passed_at:
+        if self._peers_observed_at is None or served_at > self._peers_observed_at:
             return False
-        if self._is_proved:
+        if self._is_confirmed:
             return True
-        return self._is_overdue(now) and self._attempt_started_at >= self._passed_at
+        return (
+            self._is_overdue(now)
+            and self._attempt_started_at >= self._peers_observed_at
+        )
 
     def _get_failing_since(self, now):
         """Return since when the store has not answered; infinity if it answers."""
--- a/pimentowick/gateway/target.py
+++ b/pimentowick/gateway/target.py
@@ -16,7 +16,7 @@
         port: TCP port.
         failure_domain: Failure domain.
         slots: Number of requests that it runs concurrently.
-        leaving: Whether it is draining and gets no new work.
+        is_draining: Whether it is draining and gets no new work.
         started_ms: Unix time of its start, in milliseconds. The identifier alone does
             not distinguish two runs.
     """
@@ -27,7 +27,7 @@
     port: int
     failure_domain: str
     slots: int
-    leaving: bool = False
+    is_draining: bool = False
     started_ms: int = 0
 
 
@@ -82,7 +82,7 @@
         return (
             not self.gone
             and not self.ejected
-            and not self.registration.leaving
+            and not self.registration.is_draining
             and now >= self.paused_until
         )
 
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -37,7 +37,7 @@
 
     async def check(site, gateway):
         site.list_replica(servers[0], state="draining")
-        await wait_true(lambda: gateway.table.by_id["i-0"].registration.leaving)
+        await wait_true(lambda: gateway.table.by_id["i-0"].registration.is_draining)
         for number in range(4):
             await send(site, f"r{number}")
         assert not servers[0].runs
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -82,7 +82,7 @@
 
         def is_used_up():
             found = known._buckets.get("stands")
-            return found is not None and found.level < 1
+            return found is not None and found.tokens < 1
 
         await wait.wait_for(is_used_up, 10, 0.01)
         assert (await send(site, "late", entry=1)).status == 429
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -439,8 +439,8 @@
         cut._supervisor.stop_child("ownership")
         site.store.board.place(faults.Order("stall"))
         found = cut.ownership._reachability
-        found.observe_peers = lambda now, others_renewed_at: False
-        found._passed_at, found._is_proved = time.monotonic(), True
+        found.observe_peers = lambda now, peers_renewed_at: False
+        found._peers_observed_at, found._is_confirmed = time.monotonic(), True
         cut.store.reached_at = float("-inf")
         answer = await asyncio.wait_for(submit(site, make_body(2)), 5)
         assert answer.status == 503
--- a/pimentowick/gateway/tests/test_quota.py
+++ b/pimentowick/gateway/tests/test_quota.py
@@ -244,7 +244,7 @@
                 )
     there.merge_report("here", here.build_report(now), lambda name: wide, now)
     gained = now - 10.0
-    tokens = there._buckets["w"].level
+    tokens = there._buckets["w"].tokens
     assert tokens <= 1000.0
     assert 999.0 - admitted - 1e-6 <= tokens <= 999.0 - admitted + gained + 1e-6
 
--- a/pimentowick/gateway/tests/test_reachability.py
+++ b/pimentowick/gateway/tests/test_reachability.py
@@ -23,9 +23,9 @@
         self._next_at = starts_at
         self._attempt_started_at = None
 
-    def step(self, now, others_renewed_at):
+    def step(self, now, peers_renewed_at):
         """Advance to a time, some milliseconds after the last step."""
-        is_new = self._reachability.observe_peers(now, others_renewed_at)
+        is_new = self._reachability.observe_peers(now, peers_renewed_at)
         if self._attempt_started_at is None:
             if is_new or now >= self._next_at:
                 self._attempt_started_at = now
--- a/pimentowick/platform/operator.py
+++ b/pimentowick/platform/operator.py
@@ -180,6 +180,6 @@
         port=port,
         failure_domain=data.zone,
         slots=data.slots,
-        leaving=data.state == "draining",
+        is_draining=data.state == "draining",
         started_ms=data.born,
     )
