--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -43,16 +43,18 @@
     def apply_value(self, value):
         """Apply the value of a configuration record if its version is newer."""
         try:
-            found = operator.decode_configuration(value)
+            configuration = operator.decode_configuration(value)
         except exception.ValidationError as error:
             decision.note_belief("configuration.garbled", why=str(error))
             return
-        if self.current is not None and found.version <= self.current.version:
+        if self.current is not None and configuration.version <= self.current.version:
             return
-        self.current = found
+        self.current = configuration
         self.record = value
         decision.note_belief(
-            "configuration.applied", version=found.version, routes=len(found.routes)
+            "configuration.applied",
+            version=configuration.version,
+            routes=len(configuration.routes),
         )
 
 
@@ -149,8 +151,8 @@
             self._neighbours.remove(record.key)
             return
         try:
-            found = orjson.loads(record.value)
-            domain, link_mbps = str(found["failure_domain"]), float(found["link_mbps"])
+            data = orjson.loads(record.value)
+            domain, link_mbps = str(data["failure_domain"]), float(data["link_mbps"])
         except (ValueError, TypeError, KeyError) as error:
             decision.note_belief("entry.garbled", entry=record.key, why=str(error))
             return
--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/neighbour.py
@@ -212,12 +212,12 @@
         and minus infinity without known peers or reported renewals.
         """
         alive_since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
-        heard = [
+        live = [
             peer for peer in self.peers.values() if peer.last_heard_at > alive_since
         ]
-        if not heard:
+        if not live:
             return math.inf if self.peers else -math.inf
-        renewals = [peer.renewed_at for peer in heard if peer.renewed_at is not None]
+        renewals = [peer.renewed_at for peer in live if peer.renewed_at is not None]
         return max(renewals, default=-math.inf)
 
     def list_live_peers(self):
@@ -235,10 +235,10 @@
     def list_peer_partitions(self):
         """Return the partitions of the batch work that live peers report as held."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
-        heard = [
+        held = [
             peer.parts for peer in self.peers.values() if peer.last_heard_at > since
         ]
-        return frozenset().union(*heard)
+        return frozenset().union(*held)
 
     async def run(self):
         """Send reports until cancelled."""
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -63,11 +63,11 @@
         time discipline", 1968.
     """
 
-    def rank(item):
+    def make_sort_key(item):
         left = round(item.left_s, 1)
         return is_late(item, now), left, item.due_at, -item.steps_done
 
-    return sorted(pending, key=rank)
+    return sorted(pending, key=make_sort_key)
 
 
 def is_late(item, now):
--- a/pimentowick/gateway/policy/outlier_detection.py
+++ b/pimentowick/gateway/policy/outlier_detection.py
@@ -22,8 +22,8 @@
 # A target is ejected only above both: packet loss of 3% stays below them.
 MIN_FAILURES = 3.0
 MIN_FAILURE_SHARE = 0.3
-# A single peer may itself be partitioned from healthy targets, so it takes at least two
-# peers to eject a target.
+# A single peer cannot cause an ejection: it may itself be partitioned from a healthy
+# target.
 MAX_FAILURES_PER_PEER = 2.0
 # Decayed counts below this are no longer reported.
 MIN_REPORTED = 0.3
--- a/pimentowick/gateway/target.py
+++ b/pimentowick/gateway/target.py
@@ -16,7 +16,7 @@
         port: TCP port.
         failure_domain: Failure domain.
         slots: Number of requests that it runs concurrently.
-        is_draining: Whether it is draining and gets no new work.
+        is_draining: Whether it gets no new work because it is about to stop.
         started_ms: Unix time of its start, in milliseconds. The identifier alone does
             not distinguish two runs.
     """
@@ -40,7 +40,7 @@
         batch: Batch items of this entry at the target.
         peers_online: Online requests of other entries, by their latest reports.
         peers_batch: Batch items of other entries, by their latest reports.
-        gone: Whether it is no longer listed.
+        is_removed: Whether it is no longer listed.
         paused_until: Monotonic time until which it gets no new work.
         failures: Number of consecutive failed connections.
         ejected: Whether outlier detection has ejected it.
@@ -52,7 +52,7 @@
         self.batch = 0
         self.peers_online = 0
         self.peers_batch = 0
-        self.gone = False
+        self.is_removed = False
         self.paused_until = 0.0
         self.failures = 0
         self.ejected = False
@@ -80,7 +80,7 @@
     def is_usable(self, now):
         """Return whether the target may get new work."""
         return (
-            not self.gone
+            not self.is_removed
             and not self.ejected
             and not self.registration.is_draining
             and now >= self.paused_until
@@ -127,7 +127,7 @@
         target = self.by_id.pop(target_id, None)
         if target is None:
             return
-        target.gone = True
+        target.is_removed = True
         self._by_service[target.registration.service].pop(target_id)
         self._on_removed(target)
 
--- a/pimentowick/gateway/tests/test_policy.py
+++ b/pimentowick/gateway/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Replays of load against the policies for queues, shedding, choice and preemption."""
+"""Tests of the policies for queueing, load shedding, target choice and preemption."""
 
 import collections
 import math
@@ -95,7 +95,7 @@
 
 def test_removed_paused_or_tried_target_is_skipped():
     targets = make_targets(4)
-    targets[0].gone = True
+    targets[0].is_removed = True
     targets[1].paused_until = 5.0
     assert target_choice.choose_for_online(targets, 1.0, "a", {"t2"}).id == "t3"
     assert target_choice.choose_for_online(targets, 9.0, "a", {"t2", "t3"}).id == "t1"
@@ -116,12 +116,12 @@
     online = draw.randrange(SLOTS + 3)
     preempted = 0
     for name, own in counts.items():
-        (seen,) = make_targets(1)
-        seen.batch = own
-        seen.peers_batch = sum(counts.values()) - own
-        seen.peers_online = online
+        (view,) = make_targets(1)
+        view.batch = own
+        view.peers_batch = sum(counts.values()) - own
+        view.peers_online = online
         peers = {key: value for key, value in counts.items() if key != name and value}
-        preempted += preemption.count_preemptions(seen, name, peers)
+        preempted += preemption.count_preemptions(view, name, peers)
     total = sum(counts.values())
     assert preempted == min(total, max(0, online + total - SLOTS))
 
@@ -133,13 +133,15 @@
     # times too many items would start.
     draw = random.Random(seed)
     waiting = [draw.randrange(1, 12) for _ in range(8)]
-    room = draw.randrange(1, 30)
+    free_slots = draw.randrange(1, 30)
     started = sum(
-        batch_queue.compute_entry_share(room, own, sum(waiting) - own, draw.random)
+        batch_queue.compute_entry_share(
+            free_slots, own, sum(waiting) - own, draw.random
+        )
         for own in waiting
     )
-    wanted = min(room, sum(waiting))
-    assert abs(started - wanted) <= len(waiting) / 2
+    expected = min(free_slots, sum(waiting))
+    assert abs(started - expected) <= len(waiting) / 2
 
 
 def test_requests_that_would_be_late_are_refused_and_others_queued():
--- a/pimentowick/gateway/tests/test_quota.py
+++ b/pimentowick/gateway/tests/test_quota.py
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize(("count", "factor"), [(9, 2.9), (33, 4.4), (56, 7.5)])
 def test_hot_workspace_is_limited_over_all_entries(factor, count):
-    # Each entry gets a few requests per second, below the limit by themselves.
+    # No single entry gets more requests than the limit.
     fleet = Fleet(quota.SharedQuota, count, loss=0.05)
     demand = {"hot": LIMIT.rate_per_s / 1.6 * factor, "calm": 2.0}
     fleet.run(demand, 30.0, dict.fromkeys(demand, LIMIT))
@@ -217,8 +217,8 @@
         now += pause
         if not limiter.take("w", LIMIT, now):
             admitted.append(now)
-    for first, began in enumerate(admitted):
-        count = bisect.bisect(admitted, began + WINDOW_S) - first
+    for first, started_at in enumerate(admitted):
+        count = bisect.bisect(admitted, started_at + WINDOW_S) - first
         assert count <= count_allowed(LIMIT)
 
 
--- a/pimentowick/gateway/tests/test_reachability.py
+++ b/pimentowick/gateway/tests/test_reachability.py
@@ -97,8 +97,8 @@
 
 @pytest.mark.parametrize("refused", [None, 0.004])
 def test_entry_that_alone_lost_the_store_detects_it_soon(refused):
-    # A third of the entries loses the store while the others are served. Until they
-    # detect it, their callers wait for nothing.
+    # A third of the entries loses the store while the others are served. Requests sent
+    # to them time out until they detect it.
     schedules = [make_outage(3.0, 9.0, refused)] * 3 + [make_outage(0, 0)] * 6
     entries = replay(schedules)
     for entry in entries[:3]:
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -114,7 +114,15 @@
 
 
 class _Reader(httputil.HTTPMessageDelegate):
-    """Passes a response to a sink if it belongs to the request."""
+    """Passes a response to a sink if it belongs to the request.
+
+    Attributes:
+        status: HTTP status, or 0 before the headers arrive.
+        answer: The decoded `message.Answer`, or None before the headers arrive.
+        is_stray: Whether the response belongs to another request.
+        is_finished: Whether the response has arrived completely.
+        is_framed: Whether the end of the body is known without closing the connection.
+    """
 
     def __init__(self, request_id, sink):
         self._request_id = request_id
