--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -78,7 +78,7 @@
 
 
 def _measure_choice(targets):
-    served = _make_table(targets).list_service("s")
+    served = _make_table(targets).list_targets("s")
     return _measure(lambda: target_choice.choose_for_online(served, 0.0, "a"))
 
 
--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -112,7 +112,7 @@
     def describe(self, service):
         """Return the `load_shedding.QueueState` of a service."""
         now = time.monotonic()
-        usable = [t for t in self._table.list_service(service) if t.is_usable(now)]
+        usable = [t for t in self._table.list_targets(service) if t.is_usable(now)]
         return load_shedding.QueueState(
             slots=sum(target.slots for target in usable),
             free_slots=target_choice.count_online_capacity(usable, now),
@@ -216,7 +216,7 @@
             future.set_result(place)
 
     def _choose(self, service, avoid):
-        targets = self._table.list_service(service)
+        targets = self._table.list_targets(service)
         target = target_choice.choose_for_online(
             targets,
             time.monotonic(),
--- a/pimentowick/gateway/pools.py
+++ b/pimentowick/gateway/pools.py
@@ -27,12 +27,14 @@
         if pool is None:
             registration = target.registration
             pool = upstream.Pool(
-                registration.ip, registration.port, lambda: self.count_idle(target)
+                registration.ip,
+                registration.port,
+                lambda: self.compute_idle_limit(target),
             )
             self._pools[target] = pool
         return pool
 
-    def count_idle(self, target):
+    def compute_idle_limit(self, target):
         """Return how many idle connections this entry may keep to a target.
 
         A target resets connections beyond its limit, even one with a request in
--- a/pimentowick/gateway/route.py
+++ b/pimentowick/gateway/route.py
@@ -152,7 +152,7 @@
         routes = self._by_host.get(host) or self._by_host.get(host.partition(":")[0])
         return any(route.is_public and route.due_s for route in routes or ())
 
-    def find_batch(self, host, path):
+    def find_batch_route(self, host, path):
         """Return the route for batch jobs that matches a path, or None."""
         route = self.find(host, path)
         return route if route is not None and route.due_s else None
--- a/pimentowick/gateway/route_removal.py
+++ b/pimentowick/gateway/route_removal.py
@@ -27,7 +27,7 @@
         orphans = {
             found.id: found
             for found in book.open_jobs.values()
-            if configuration.find_batch(found.host, found.path) is None
+            if configuration.find_batch_route(found.host, found.path) is None
         }
         self._since = {job_id: self._since.get(job_id, now) for job_id in orphans}
         return [
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -205,7 +205,7 @@
             part = ownership.find_part(found.id, self._parts)
             if part not in self.owned:
                 continue
-            route = configuration.find_batch(found.host, found.path)
+            route = configuration.find_batch_route(found.host, found.path)
             if route is None:
                 # The operator may bring the route back; its jobs wait.
                 continue
@@ -340,7 +340,7 @@
         allowed = {}
         for service in {run.service for run in ready}:
             room = target_choice.count_batch_capacity(
-                self._table.list_service(service), now
+                self._table.list_targets(service), now
             )
             own = self.neighbours.pending.get(service, 0)
             others = max(0, self.neighbours.peers_pending[service])
@@ -349,7 +349,7 @@
             if not allowed[run.service]:
                 continue
             target = target_choice.choose_for_batch(
-                self._table.list_service(run.service), now, self._failure_domain
+                self._table.list_targets(run.service), now, self._failure_domain
             )
             if target is None:
                 allowed[run.service] = 0
--- a/pimentowick/gateway/target.py
+++ b/pimentowick/gateway/target.py
@@ -135,7 +135,7 @@
         """Return a list of targets for each service."""
         return [list(targets.values()) for targets in self._by_service.values()]
 
-    def list_service(self, service):
+    def list_targets(self, service):
         """Return the targets of a service."""
         return list(self._by_service.get(service, {}).values())
 
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -279,8 +279,10 @@
             {} if limit is None else {platform_site.SERVICE: limit}
         )
         target = next(iter(gateway.table.by_id.values()))
-        assert min(16, gateway.pools.count_idle(target)) == kept
+        assert min(16, gateway.pools.compute_idle_limit(target)) == kept
         gateway.neighbours.add("127.0.0.1:1")
-        assert gateway.pools.count_idle(target) == max(0, (limit or 100) - 8) // 2
+        assert (
+            gateway.pools.compute_idle_limit(target) == max(0, (limit or 100) - 8) // 2
+        )
 
     run_with([replica.Replica(slots=8)], check)
