--- a/pimentowick/gateway/route.py
+++ b/pimentowick/gateway/route.py
@@ -65,7 +65,11 @@
         return self.kind == Kind.IDEMPOTENT
 
     def choose_service(self):
-        """Return the name of a service drawn by weight; None if all weights are 0."""
+        """Return the name of a service, drawn by weight.
+
+        A single service is returned whatever its weight. The result is None if all of
+        several weights are 0 or less.
+        """
         if len(self.services) == 1:
             return next(iter(self.services))
         names = list(self.services)
