--- a/pimentowick/gateway/admission.py
+++ b/pimentowick/gateway/admission.py
@@ -56,8 +56,8 @@
 
     def __init__(self, admission, target):
         self.target = target
-        self.online_at_start = target.all_online
-        self.batch_at_start = target.all_batch
+        self.online_at_start = target.total_online
+        self.batch_at_start = target.total_batch
         self.acquired_at = time.monotonic()
         self._admission = admission
         target.online += 1
@@ -112,14 +112,14 @@
         return [name for name, queue in self._queues.items() if queue]
 
     def get_queue_state(self, service):
-        """Return the `load_shedding.Line` of a service."""
+        """Return the `load_shedding.QueueState` of a service."""
         now = time.monotonic()
-        usable = [t for t in self._table.list_service(service) if t.is_usable(now)]
-        return load_shedding.Line(
-            places=sum(target.slots for target in usable),
-            free=target_choice.count_free(usable, now),
-            waiting=self.count_waiting(service) + self.peers_waiting[service],
-            hold_s=self.mean_hold_s.get(service, INITIAL_HOLD_S),
+        usable = [t for t in self._table.list_targets(service) if t.is_usable(now)]
+        return load_shedding.QueueState(
+            slots=sum(target.slots for target in usable),
+            free_slots=target_choice.count_online_capacity(usable, now),
+            queued=self.count_waiting(service) + self.peers_waiting[service],
+            mean_hold_s=self.mean_hold_s.get(service, INITIAL_HOLD_S),
         )
 
     def try_acquire(self, slot_request, avoid=frozenset()):
@@ -195,8 +195,8 @@
         if now < self._next_grant_at.get(service, 0.0):
             return
         others = max(0, self.peers_waiting[service])
-        free = self.get_queue_state(service).free
-        limit = batch_queue.count_starts(free, own, others)
+        free = self.get_queue_state(service).free_slots
+        limit = batch_queue.compute_entry_share(free, own, others)
         if free:
             delay_s = self._get_propagation_delay_s()
             self._next_grant_at[service] = now + delay_s
@@ -210,7 +210,7 @@
         if not queue:
             return
         now = time.monotonic()
-        queue.sort(key=lambda waiter: request_order.rank(waiter[0], now))
+        queue.sort(key=lambda waiter: request_order.compute_sort_key(waiter[0], now))
         for waiter in list(queue):
             slot_request, avoid, future = waiter
             if future.done():
@@ -229,7 +229,7 @@
             future.set_result(slot)
 
     def _acquire(self, service, avoid):
-        targets = self._table.list_service(service)
+        targets = self._table.list_targets(service)
         target = target_choice.choose_for_online(
             targets,
             time.monotonic(),
@@ -252,7 +252,7 @@
         References:
             J. D. C. Little, "A proof for the queuing formula L = lambda W", 1961.
         """
-        running = sum(target.all_online for target in targets)
+        running = sum(target.total_online for target in targets)
         mean_s = self.mean_hold_s.get(service, INITIAL_HOLD_S)
         return running / mean_s * self._get_propagation_delay_s()
 
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -83,8 +83,8 @@
         workspace = workspaces.find(call.key)
         if workspace is None:
             workspace = await self._find_after_refresh(call)
-        age_class = freshness.judge_age(self.age_s, self._revocation_s)
-        if age_class == freshness.Standing.OLD:
+        age_class = freshness.classify_age(self.age_s, self._revocation_s)
+        if age_class == freshness.Freshness.STALE:
             self._log_refusal(call, "configuration_old", workspace=workspace.name)
             raise exception.RefusedError(self._make_stale_refusal())
         return workspace
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -31,7 +31,7 @@
     runner,
     target,
 )
-from pimentowick.gateway.policy import news_relay, outlier_detection, quota
+from pimentowick.gateway.policy import outlier_detection, quota, report_relay
 from pimentowick.platform import message, node, operator, store
 
 __all__ = ["Gateway", "run"]
@@ -96,21 +96,23 @@
         self.metrics = metric.Metrics()
         self.configuration = follower.ConfigurationFollower()
         self.table = target.TargetTable(
-            lambda removed: self.pools.drop(removed),
-            lambda target_id: self.neighbours.tell_target(target_id),
+            lambda removed: self.pools.remove_pool(removed),
+            lambda target_id: self.neighbours.update_target_load(target_id),
         )
         self.admission = admission.Admission(
             self.table,
             settings.failure_domain,
             self._on_load_change,
-            lambda: self.neighbours.round_s,
+            lambda: self.neighbours.propagation_delay_s,
         )
         address = f"{settings.ip}:{settings.peer_ports[0]}"
         self.outliers = outlier_detection.OutlierDetection(settings.failure_domain)
-        self.quotas = quota.SharedCount(time.monotonic())
+        self.quotas = quota.SharedQuota(time.monotonic())
         self.neighbours = neighbour.Neighbours(
             address,
-            news_relay.NewsRelay(address, settings.failure_domain, settings.link_mbps),
+            report_relay.ReportRelay(
+                address, settings.failure_domain, settings.link_mbps
+            ),
             self.table,
             self.admission,
             self.outliers,
@@ -134,7 +136,7 @@
             lambda: self.configuration.current,
             settings.parts,
             self.metrics,
-            self.neighbours.note_change,
+            self.neighbours.schedule_report,
         )
         self.runner.neighbours = self.neighbours
         self.ownership = ownership.Ownership(
@@ -144,13 +146,13 @@
             address,
             settings.least_lease_s,
             self._on_partitions_change,
-            self.neighbours.get_newest_renewal,
+            self.neighbours.get_latest_peer_renewal,
         )
         self.neighbours.get_renewal_age = self.ownership.get_age
         self._handover = handover.Handover(
             self.ownership, self.runner, self.storage, self.neighbours
         )
-        self.neighbours.get_held_parts = self._handover.list_held
+        self.neighbours.get_held_partitions = self._handover.list_held
         request_relay = relay.Relay(
             self.admission, self.pools.get, target_health, self.metrics
         )
@@ -178,10 +180,12 @@
         self._peer_configuration = peer_configuration.PeerConfiguration(
             self.configuration,
             self._feeds["configuration"],
-            self.neighbours.list_heard,
+            self.neighbours.list_live_peers,
             lambda: self.authentication.enforces_max_age,
         )
-        self._peer_server = exchange.Server(address, self._peer_configuration.answer)
+        self._peer_server = exchange.Server(
+            address, self._peer_configuration.handle_request
+        )
         self._dispatcher = dispatch.Dispatcher(
             self.configuration,
             self._feeds["configuration"],
@@ -242,7 +246,7 @@
             )
             self._supervisor.start_child(f"append {name}", log.run)
         self._supervisor.start_child("neighbours", self.neighbours.run)
-        self._supervisor.start_child("news relay", self.neighbours.relay)
+        self._supervisor.start_child("news relay", self.neighbours.run_relay)
         self._supervisor.start_child("announce", self._register)
         self._supervisor.start_child("peer configuration", self._peer_configuration.run)
         self._supervisor.start_child("ownership", self.ownership.run)
@@ -362,13 +366,13 @@
     def _get_limit(self, name):
         """Return the `quota.Limit` of a workspace, or None if it has none."""
         current = self.configuration.current
-        limited = None if current is None else current.find_limited(name)
+        limited = None if current is None else current.find_rate_limited(name)
         return (
             None if limited is None else quota.Limit(limited.rate_per_s, limited.burst)
         )
 
     def _on_load_change(self):
-        self.neighbours.note_change()
+        self.neighbours.schedule_report()
         self.runner.wake()
 
     def _on_capacity_change(self):
@@ -424,7 +428,7 @@
         """Remove missing targets and expired jobs periodically, until cancelled."""
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_S)
-            self._targets.drop_missing()
+            self._targets.remove_missing_targets()
             await self._retention.remove_old()
 
     async def _answer_readiness(self, request):
@@ -458,8 +462,8 @@
                 **{name: now - followed.fresh_at for name, followed in feeds.items()},
                 "keys": self.authentication.age_s,
             },
-            slots=sum(queue.places for queue in queues),
-            free_slots=sum(queue.free for queue in queues),
+            slots=sum(queue.slots for queue in queues),
+            free_slots=sum(queue.free_slots for queue in queues),
             waiting=sum(map(self.admission.count_waiting, services)),
             targets=len(self.table.by_id),
             ejected=sum(listed.ejected for listed in self.table.by_id.values()),
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -20,7 +20,7 @@
         configuration: `pimentowick.gateway.follower.ConfigurationFollower`.
         feed: The `pimentowick.gateway.feed.Feed` that updates the configuration.
         authentication: `pimentowick.gateway.authentication.Authentication`.
-        quotas: The rate limits, a `pimentowick.gateway.policy.quota.SharedCount`.
+        quotas: The rate limits, a `pimentowick.gateway.policy.quota.SharedQuota`.
         relay: `pimentowick.gateway.relay.Relay`.
         job_api: `pimentowick.gateway.job_api.JobApi`.
     """
@@ -103,7 +103,7 @@
             )
         finally:
             if is_limited and not may_have_run:
-                self._quotas.give_back(caller.name, time.monotonic())
+                self._quotas.refund(caller.name, time.monotonic())
 
     def _take_quota(self, call, caller, current):
         limit = quota.Limit(caller.rate_per_s, caller.burst)
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -146,8 +146,8 @@
         slot_request = admission.SlotRequest(
             self._service,
             rank,
-            received_at + objective_s - load_shedding.FIRST_EVENT_S,
-            received_at + time_s * load_shedding.LONGEST_SHARE,
+            received_at + objective_s - load_shedding.FIRST_EVENT_LATENCY_S,
+            received_at + time_s * load_shedding.MAX_WAIT_SHARE,
             workspace="" if self._workspace is None else self._workspace.name,
         )
         while True:
@@ -187,13 +187,13 @@
             kind=self._route.kind,
             service=self._service,
             attempt=self._progress.attempts + 1,
-            free=queue_state.free,
-            places=queue_state.places,
-            waiting=queue_state.waiting,
+            free=queue_state.free_slots,
+            places=queue_state.slots,
+            waiting=queue_state.queued,
             expected_s=load_shedding.estimate_wait(queue_state),
         )
         return await self._admission.wait_for_slot(
-            slot_request, avoid if queue_state.places > 0 else ()
+            slot_request, avoid if queue_state.slots > 0 else ()
         )
 
     async def _send(self, target):
@@ -234,14 +234,14 @@
         )
         sink = self._sink
         loop = asyncio.get_running_loop()
-        with self._health.watch(
+        with self._health.watch_for_silence(
             target, self._route.objective_s, lambda: sink.status, loop.call_later
         ):
             outcome = await self._get_pool(target).send(request, sink)
         if outcome.end == upstream.End.NOT_RUN:
             self._sent = self._progress.runs > 0
         load = self._slot.online_at_start + self._slot.batch_at_start
-        self._health.note_outcome(target, outcome, load < target.slots / 2)
+        self._health.observe_outcome(target, outcome, load < target.slots / 2)
         return outcome
 
     async def _handle_outcome(self, outcome):
@@ -252,9 +252,9 @@
         self._progress.runs += 1
         self._status = outcome.status
         may_repeat = (
-            self._route.repeatable and self._progress.runs < self._route.max_attempts
+            self._route.can_retry and self._progress.runs < self._route.max_attempts
         )
-        if outcome.end == upstream.End.CUT:
+        if outcome.end == upstream.End.INCOMPLETE:
             return self._retry_or_fail(may_repeat)
         if self._sink.forwards_events:
             return self._finish_stream(may_repeat)
@@ -294,7 +294,7 @@
             503,
             "busy",
             "All targets are busy. Come back after the time in Retry-After.",
-            retry_after=load_shedding.make_retry_after(queue_state),
+            retry_after=load_shedding.compute_retry_after(queue_state),
         )
         self._status = 503
         await self._exchange.refuse(refusal)
@@ -381,7 +381,7 @@
             pause_s=self._sink.longest_gap_s,
             took_s=now - received_at,
             configuration=version,
-            free=queue_state.free,
-            places=queue_state.places,
-            waiting=queue_state.waiting,
+            free=queue_state.free_slots,
+            places=queue_state.slots,
+            waiting=queue_state.queued,
         )
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -49,7 +49,7 @@
         self.out_of_order = False
         self._splitter = event_stream.EventSplitter()
 
-    async def take_head(self, status, headers, answer):
+    async def on_headers(self, status, headers, answer):
         """Store status and headers; see `upstream.Sink`."""
         self.status = status
         self.headers = headers
@@ -57,7 +57,7 @@
             self._is_stream and status == 200 and answer.signed and not answer.encoded
         )
 
-    async def take_chunk(self, chunk):
+    async def on_chunk(self, chunk):
         """Forward or buffer part of the body; see `upstream.Sink`."""
         if self.forwards_events:
             await self._forward_events(chunk)
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -84,7 +84,7 @@
 
         def is_used_up():
             bucket = quotas._buckets.get("stands")
-            return bucket is not None and bucket.level < 1
+            return bucket is not None and bucket.tokens < 1
 
         await wait.wait_for(is_used_up, 10, 0.01)
         assert (await send(site, "late", entry=1)).status == 429
--- a/pimentowick/gateway/tests/test_wave.py
+++ b/pimentowick/gateway/tests/test_wave.py
@@ -94,7 +94,7 @@
         unseen = sum(online) / HOLD_S * self.lag_s if self.uses_estimate else 1.0
         domain = f"d{self.rng.randrange(5)}"
         chosen = target_choice.choose_for_online(
-            self.views, 0.0, domain, coming=unseen, draw=self.rng.random
+            self.views, 0.0, domain, expected_sends=unseen, draw=self.rng.random
         )
         if chosen is None:
             self.schedule(0.05, self.send)
