--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -164,7 +164,7 @@
 
 def _measure_job_memory(items):
     tracemalloc.start()
-    book = job.Book()
+    book = job.JobTable()
     made = [
         job.Item(f"i{n}", "/p", {}, 100, content.Reference(f"b/{n}/w", n, 1, 1000))
         for n in range(items)
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -43,7 +43,7 @@
     @property
     def age_s(self):
         """Seconds since the store was asked for what is known now."""
-        return self._feed.clock() - self._feed.proved_at
+        return self._feed.clock() - self._feed.fresh_at_boottime
 
     @property
     def is_bounded(self):
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -148,11 +148,11 @@
             self._note_parts,
             self.neighbours.get_newest_renewal,
         )
-        self.neighbours.get_renewal_age = self.ownership.get_age
+        self.neighbours.get_renewal_age = self.ownership.get_lease_age
         self._handover = handover.Handover(
             self.ownership, self.runner, self.storage, self.neighbours
         )
-        self.neighbours.get_held_parts = self._handover.list_held
+        self.neighbours.get_held_parts = self._handover.list_held_partitions
         found_relay = relay.Relay(
             self.admission, self.pools.get, found_health, self.metrics
         )
@@ -404,7 +404,7 @@
         while True:
             await asyncio.sleep(CLEAN_EVERY_S)
             self._targets.drop_missing()
-            await self._retention.remove_old()
+            await self._retention.remove_expired_jobs()
 
     async def _answer_check(self, request):
         status = 200 if self.is_ready else 503
@@ -442,7 +442,7 @@
             waiting=sum(map(self.admission.count_waiting, services)),
             targets=len(self.table.by_id),
             ejected=sum(found.ejected for found in self.table.by_id.values()),
-            open_jobs=len(self.storage.book.open_jobs),
+            open_jobs=len(self.storage.job_table.open_jobs),
             open_requests=self._callers.busy,
             store_calls=self.store.calls,
             store_bytes=self.store.bytes,
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -134,7 +134,7 @@
         name = None if caller is None else caller.name
         job_id = workspace.scope_job_id(name, job_id)
         if wanted == message.BatchCall.END:
-            await self._job_api.end(request, job_id)
+            await self._job_api.cancel(request, job_id)
         elif wanted == message.BatchCall.READ:
             await self._job_api.read_results(request, job_id, call)
         elif wanted == message.BatchCall.BODY:
--- a/pimentowick/gateway/feed.py
+++ b/pimentowick/gateway/feed.py
@@ -38,7 +38,7 @@
     def apply(self, record):
         """Take the next record; an empty value drops its key."""
 
-    def caught_up(self):
+    def on_caught_up(self):
         """Note that all records that the store had were told."""
 
 
@@ -59,15 +59,15 @@
             paid for, and a busy topic would otherwise be read once a record.
         wait_s: How long the store may hold a read, in seconds. A connection that
             fell silent is noticed after this time and the store's timeout.
-        clock: Function that returns the time of `proved_at`.
+        clock: Function that returns the time of `fresh_at_boottime`.
 
     Attributes:
         end: Offset behind the last record read, or None before the first.
         fresh_at: Monotonic time as of which the records are known to be complete.
-        proved_at: The same moment, on the clock that goes on while the host is
+        fresh_at_boottime: The same moment, on the clock that goes on while the host is
             suspended.
-        lost_at: Monotonic time since which reads fail, or None.
-        returned_at: Monotonic time at which reads worked again after a failure.
+        unreachable_since: Monotonic time since which reads fail, or None.
+        recovered_at: Monotonic time at which reads worked again after a failure.
     """
 
     def __init__(self, store, topic, part, follower, pause_s, wait_s, clock=read_clock):
@@ -80,9 +80,9 @@
         self.clock = clock
         self.end = None
         self.fresh_at = float("-inf")
-        self.proved_at = float("-inf")
-        self.lost_at = None
-        self.returned_at = float("-inf")
+        self.fresh_at_boottime = float("-inf")
+        self.unreachable_since = None
+        self.recovered_at = float("-inf")
         self._changed = asyncio.Event()
         self._loading = asyncio.Lock()
 
@@ -206,17 +206,17 @@
 
     def _note_fresh(self, asked_at, proves_at):
         self.fresh_at = max(self.fresh_at, asked_at)
-        self.proved_at = max(self.proved_at, proves_at)
-        if self.lost_at is not None:
-            lost_s = time.monotonic() - self.lost_at
+        self.fresh_at_boottime = max(self.fresh_at_boottime, proves_at)
+        if self.unreachable_since is not None:
+            lost_s = time.monotonic() - self.unreachable_since
             decision.note_belief("feed.regained", topic=self.topic, lost_s=lost_s)
-            self.lost_at = None
-            self.returned_at = time.monotonic()
-        self.follower.caught_up()
+            self.unreachable_since = None
+            self.recovered_at = time.monotonic()
+        self.follower.on_caught_up()
 
     def _note_lost(self, error):
-        if self.lost_at is None:
-            self.lost_at = time.monotonic()
+        if self.unreachable_since is None:
+            self.unreachable_since = time.monotonic()
             decision.note_belief("feed.lost", topic=self.topic, why=str(error))
 
     def _tell_changed(self):
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -109,7 +109,7 @@
             )
         self._on_change()
 
-    def caught_up(self):
+    def on_caught_up(self):
         """Forget the targets that stay unlisted, if it is time."""
         self.drop_missing()
 
@@ -120,7 +120,10 @@
     def drop_missing(self):
         """Forget the targets that stay unlisted."""
         now = time.monotonic()
-        if self.feed.lost_at is not None or now - self.feed.returned_at < RETURN_S:
+        if (
+            self.feed.unreachable_since is not None
+            or now - self.feed.recovered_at < RETURN_S
+        ):
             return
         for target_id in self._missing_since:
             decision.note_belief("target.gone", target=target_id)
@@ -154,6 +157,6 @@
             return
         self._neighbours.meet(record.key, domain, link_mbps)
 
-    def caught_up(self):
+    def on_caught_up(self):
         """Note that all entries are known that the store lists."""
         self._neighbours.note_listed()
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -45,7 +45,7 @@
         self._storage = storage
         self._neighbours = neighbours
 
-    def list_held(self):
+    def list_held_partitions(self):
         """Return the parts that nobody else should run yet."""
         if self._ownership.is_alone:
             return self._runner.owned
--- a/pimentowick/gateway/job.py
+++ b/pimentowick/gateway/job.py
@@ -19,7 +19,7 @@
 
 from pimentowick.gateway import content
 
-__all__ = ["Book", "Item", "Job", "Outcome", "Result"]
+__all__ = ["Item", "Job", "JobTable", "Outcome", "Result"]
 
 
 @dataclasses.dataclass(slots=True)
@@ -158,7 +158,7 @@
         )
 
 
-class Book:
+class JobTable:
     """All jobs.
 
     Records may be given twice, and in the order of their offsets only. Those of the two
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -48,7 +48,7 @@
         """
         owner = None if caller is None else caller.name
         job_id = workspace.scope_job_id(owner, call.request_id)
-        if job_id not in self._storage.book.jobs and self._is_cut_off():
+        if job_id not in self._storage.job_table.jobs and self._is_cut_off():
             await self._refuse_cut_off(exchange, job_id)
             return
         try:
@@ -86,7 +86,7 @@
         storage = self._storage
         # What waits counts for the quota.
         await storage.load(SUBMIT_TIMEOUT_S)
-        if job_id in storage.book.jobs:
+        if job_id in storage.job_table.jobs:
             return
         tokens = sum(item.tokens for item in items)
         self._check_room(found, exchange.host, owner, tokens)
@@ -117,7 +117,7 @@
 
     async def _drop_bodies(self, job_id, references):
         """Drop the bodies of a job that was refused after they were written."""
-        if job_id in self._storage.book.jobs:
+        if job_id in self._storage.job_table.jobs:
             return
         try:
             await self._storage.contents.drop(job_id, references)
@@ -137,7 +137,7 @@
         """Refuse a job whose tokens do not fit beside those that wait."""
         if not found.max_waiting_tokens:
             return
-        waiting = self._storage.book.count_waiting_tokens(
+        waiting = self._storage.job_table.count_waiting_tokens(
             found.path_prefix, host, owner
         )
         if waiting + tokens > found.max_waiting_tokens:
@@ -205,7 +205,7 @@
                 return
         raise _refuse_unknown()
 
-    async def end(self, exchange, job_id):
+    async def cancel(self, exchange, job_id):
         """End a job."""
         if self._is_cut_off():
             await self._refuse_cut_off(exchange, job_id)
@@ -213,7 +213,7 @@
         await self._find(job_id, exchange.host)
 
         def build():
-            found = self._storage.book.jobs.get(job_id)
+            found = self._storage.job_table.jobs.get(job_id)
             if found is None or found.ended:
                 return []
             return [record.make_end(job_id)]
@@ -234,7 +234,7 @@
             RefusedError: There is no such job, or that is not sure.
         """
         storage = self._storage
-        found = storage.book.jobs.get(job_id)
+        found = storage.job_table.jobs.get(job_id)
         known = found is not None and storage.is_loaded
         known = known and (after is None or len(found.results) > after)
         is_fresh = storage.get_age() < FRESH_S
@@ -247,7 +247,7 @@
             except exception.LogError as error:
                 _note("batch.unsure", job_id, "store_away", why=str(error))
                 raise exception.RefusedError(_make_unsure()) from error
-            found = storage.book.jobs.get(job_id)
+            found = storage.job_table.jobs.get(job_id)
         if found is None or found.host != host:
             _note("batch.unknown", job_id, "not_found", age_s=storage.get_age())
             raise _refuse_unknown()
--- a/pimentowick/gateway/job_storage.py
+++ b/pimentowick/gateway/job_storage.py
@@ -21,19 +21,19 @@
         settings: `pimentowick.platform.node.NodeSettings`.
 
     Attributes:
-        book: The folded `job.Book`.
+        job_table: The folded `job.JobTable`.
         accepted: The `ledger.Ledger`.
         outcomes: The `outcome_log.OutcomeLog`.
         contents: The `content.Contents`.
     """
 
     def __init__(self, store, jobs_topic, outcomes_topic, pause_s, wait_s, settings):
-        self.book = job.Book()
+        self.job_table = job.JobTable()
         self.accepted = ledger.Ledger(
-            store, jobs_topic, self.book, pause_s, wait_s, settings.call_bytes
+            store, jobs_topic, self.job_table, pause_s, wait_s, settings.call_bytes
         )
         self.outcomes = outcome_log.OutcomeLog(
-            store, outcomes_topic, self.book, pause_s, wait_s
+            store, outcomes_topic, self.job_table, pause_s, wait_s
         )
         self.contents = content.Contents(
             store, settings.parts, settings.record_bytes, settings.call_bytes
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -49,7 +49,7 @@
     """A change that waits for its append.
 
     Attributes:
-        build: Function that gets the `job.Book` and returns records.
+        build: Function that gets the `job.JobTable` and returns records.
         future: Ends with the change.
         limited: Whether no other such change may share its append.
         unsettled: Whether an append with this change had no answer yet.
@@ -67,19 +67,19 @@
     Args:
         store: `pimentowick.platform.store.Store`.
         topic: Name of the keyed topic.
-        book: The `pimentowick.gateway.job.Book` that folds it.
+        job_table: The `pimentowick.gateway.job.JobTable` that folds it.
         pause_s: Pause between reads that found records, in seconds.
         wait_s: How long the store may hold a read, in seconds.
         call_bytes: Most bytes of one append.
 
     Attributes:
-        book: The folded `pimentowick.gateway.job.Book`.
+        job_table: The folded `pimentowick.gateway.job.JobTable`.
         feed: The `feed.Feed` that keeps it up to date.
     """
 
-    def __init__(self, store, topic, book, pause_s, wait_s, call_bytes):
+    def __init__(self, store, topic, job_table, pause_s, wait_s, call_bytes):
         self.store = store
-        self.book = book
+        self.job_table = job_table
         self.feed = feed.Feed(store, topic, 0, self, pause_s, wait_s)
         self._call_bytes = call_bytes * CALL_SHARE
         self._waiting = []
@@ -88,11 +88,11 @@
 
     def reset(self, records):
         """Fold the newest records."""
-        self.book.reset_jobs(records)
+        self.job_table.reset_jobs(records)
 
     def apply(self, record):
         """Fold one more record."""
-        self.book.apply_job(record.key, record.value)
+        self.job_table.apply_job(record.key, record.value)
 
     @property
     def is_loaded(self):
@@ -112,7 +112,7 @@
         """Append what `build` returns for the state at the end of the partition.
 
         Args:
-            build: Function from the `job.Book` to a list of records; an empty list
+            build: Function from the `job.JobTable` to a list of records; an empty list
                 says that there is nothing to do. What it raises is raised here.
             timeout_s: How long to try, in seconds.
             limited: Whether `build` keeps a limit over several keys. Changes that
@@ -148,7 +148,7 @@
             return
         if change.unsettled:
             raise UnsettledError("The store has not answered.")
-        if not change.build(self.book):
+        if not change.build(self.job_table):
             return
         raise NotWrittenError("The store took no append in time.")
 
@@ -263,7 +263,7 @@
 
     def _build_one(self, change):
         try:
-            found = change.build(self.book)
+            found = change.build(self.job_table)
         except Exception as error:
             self._end(change, error)
             return []
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -41,7 +41,7 @@
     Args:
         store: `pimentowick.platform.store.Store`.
         topic: Name of the keyed topic.
-        book: The `pimentowick.gateway.job.Book` that folds it.
+        job_table: The `pimentowick.gateway.job.JobTable` that folds it.
         pause_s: Pause between reads that found records, in seconds.
         wait_s: How long the store may hold a read, in seconds.
 
@@ -49,9 +49,9 @@
         feed: The `feed.Feed` that keeps the book up to date.
     """
 
-    def __init__(self, store, topic, book, pause_s, wait_s):
+    def __init__(self, store, topic, job_table, pause_s, wait_s):
         self._store = store
-        self._book = book
+        self._book = job_table
         self.feed = feed.Feed(store, topic, 0, self, pause_s, wait_s)
         self._waiting = []
         self._wake = asyncio.Event()
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -136,7 +136,7 @@
         if self.is_cut_off:
             self._give_up_lapsed()
 
-    def get_age(self):
+    def get_lease_age(self):
         """Return how many seconds ago the lease was renewed, or None."""
         if self.renewed_at is None:
             return None
@@ -144,7 +144,7 @@
 
     def _give_up_lapsed(self):
         """Give the parts up if the lease may have ended, for others run them by now."""
-        if not self.parts or self.get_age() < self._lease_s * DOUBT_SHARE:
+        if not self.parts or self.get_lease_age() < self._lease_s * DOUBT_SHARE:
             return
         self.is_alone = True
         decision.note_belief("ownership.given_up", parts=sorted(self.parts))
--- a/pimentowick/gateway/peer_configuration.py
+++ b/pimentowick/gateway/peer_configuration.py
@@ -94,7 +94,9 @@
             self._configuration.take(value)
         known = self._configuration.current
         if known is not None and known.version >= version:
-            self._feed.proved_at = max(self._feed.proved_at, asked_at - age_s)
+            self._feed.fresh_at_boottime = max(
+                self._feed.fresh_at_boottime, asked_at - age_s
+            )
             self._note_helped(True, neighbour=address, version=known.version)
 
     async def answer(self, request):
@@ -110,7 +112,7 @@
         await request.answer_json(orjson.dumps(data))
 
     def _get_age(self):
-        return self._feed.clock() - self._feed.proved_at
+        return self._feed.clock() - self._feed.fresh_at_boottime
 
     def _note_helped(self, helped, **fields):
         if helped != self._helped:
--- a/pimentowick/gateway/retention.py
+++ b/pimentowick/gateway/retention.py
@@ -25,14 +25,14 @@
         self._ownership = ownership
         self._storage = storage
 
-    async def remove_old(self):
+    async def remove_expired_jobs(self):
         """Drop the jobs that nobody may read any more from the store.
 
         The store takes no appends once it is full, and keeps the newest record of
         each key for good.
         """
         oldest = time.time() - self._settings.result_retention_s - REMOVE_MARGIN_S
-        for found in list(self._storage.book.jobs.values()):
+        for found in list(self._storage.job_table.jobs.values()):
             part = ownership.find_part(found.id, self._settings.parts)
             if found.is_open or found.submitted_s > oldest:
                 continue
--- a/pimentowick/gateway/route_removal.py
+++ b/pimentowick/gateway/route_removal.py
@@ -16,17 +16,17 @@
     def __init__(self):
         self._since = {}
 
-    def list_given_up(self, book, configuration, now):
+    def list_given_up(self, job_table, configuration, now):
         """Return the jobs without a route for longer than that.
 
         Args:
-            book: The `pimentowick.gateway.job.Book`.
+            job_table: The `pimentowick.gateway.job.JobTable`.
             configuration: The `pimentowick.gateway.route.Configuration` in force.
             now: Monotonic time, in seconds.
         """
         orphans = {
             found.id: found
-            for found in book.open_jobs.values()
+            for found in job_table.open_jobs.values()
             if configuration.find_batch(found.host, found.path) is None
         }
         self._since = {job_id: self._since.get(job_id, now) for job_id in orphans}
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -194,14 +194,14 @@
         configuration = self._get_configuration()
         if configuration is None:
             return
-        book = self._storage.book
-        state = (configuration.version, self.owned, book.version)
+        job_table = self._storage.job_table
+        state = (configuration.version, self.owned, job_table.version)
         if state == self._collected:
             return
         self._collected = state
         if not self.owned and not self._runs:
             return
-        for found in list(book.open_jobs.values()):
+        for found in list(job_table.open_jobs.values()):
             part = ownership.find_part(found.id, self._parts)
             if part not in self.owned:
                 continue
@@ -266,8 +266,8 @@
         if configuration is None or now < self._next_removed_at:
             return
         self._next_removed_at = now + REMOVED_EVERY_S
-        book = self._storage.book
-        for job in self._removed.list_given_up(book, configuration, now):
+        job_table = self._storage.job_table
+        for job in self._removed.list_given_up(job_table, configuration, now):
             if ownership.find_part(job.id, self._parts) not in self.owned:
                 continue
             for number in range(len(job.items)):
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -179,7 +179,7 @@
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
         change_keys(site, [KEY, NEW_KEY])
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.fresh_at_boottime -= authentication.LOOK_AGE_S
         assert (await send(site, NEW_KEY)).status == 200
 
     run_with(check)
@@ -189,7 +189,7 @@
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
-        stop_reads(site, gateway).proved_at -= authentication.LOOK_AGE_S
+        stop_reads(site, gateway).fresh_at_boottime -= authentication.LOOK_AGE_S
         answer = await send(site, NEW_KEY)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
@@ -202,7 +202,7 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = stop_reads(site, gateway)
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.fresh_at_boottime -= authentication.LOOK_AGE_S
         asked = []
         refresh = feed.refresh
 
@@ -224,7 +224,7 @@
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
-        feed.proved_at -= authentication.LOOK_AGE_S
+        feed.fresh_at_boottime -= authentication.LOOK_AGE_S
         before = site.store.calls["/-/log-read"]
         refresh = feed.refresh
         asked = []
@@ -252,9 +252,9 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = gateway._feeds["configuration"]
-        feed.proved_at = feed.clock() - 4.5
+        feed.fresh_at_boottime = feed.clock() - 4.5
         assert (await send(site)).status == 200
-        feed.proved_at = feed.clock() - 5.0
+        feed.fresh_at_boottime = feed.clock() - 5.0
         answer = await send(site, request_id="r2")
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) == authentication.AWAY_S
@@ -291,9 +291,9 @@
         site.gateways[0]._supervisor.stop_child("feed configuration")
         times = iter([100.0, 104.0])
         feed.clock = lambda: next(times)
-        feed.proved_at = 0.0
+        feed.fresh_at_boottime = 0.0
         await feed.refresh()
-        assert feed.proved_at == 100.0
+        assert feed.fresh_at_boottime == 100.0
 
     run_with(check)
 
@@ -304,7 +304,7 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = gateway._feeds["configuration"]
-        feed.proved_at = feed.clock() - 3.0
+        feed.fresh_at_boottime = feed.clock() - 3.0
         assert gateway.is_ready
         gateway.authentication._is_cut_off = lambda: True
         assert not gateway.is_ready
@@ -380,7 +380,7 @@
         server.gap_s = 5.0
         assert (await submit(site, KEY)).status == 202
         assert (await submit(site, OTHER_KEY)).status == 202
-        assert len(site.gateways[0].storage.book.jobs) == 2
+        assert len(site.gateways[0].storage.job_table.jobs) == 2
 
     run_with(check)
 
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -53,10 +53,10 @@
     async def check(site, gateway):
         found = gateway._feeds["targets"]
         site.store.board.place(faults.Order("down"))
-        await wait_true(lambda: found.lost_at is not None)
+        await wait_true(lambda: found.unreachable_since is not None)
         site.store.put("keyed.servers", server.id, b"")
         site.store.board.place(faults.Order("clear"))
-        await wait_true(lambda: found.lost_at is None)
+        await wait_true(lambda: found.unreachable_since is None)
         assert server.id in gateway.table.by_id
         site.list_replica(server)
         await wait_true(lambda: not gateway._targets._missing_since)
@@ -123,7 +123,7 @@
 def test_entry_goes_on_while_the_store_is_away():
     async def check(site, gateway):
         site.store.board.place(faults.Order("down"))
-        await wait_true(lambda: gateway._feeds["targets"].lost_at is not None)
+        await wait_true(lambda: gateway._feeds["targets"].unreachable_since is not None)
         assert (await send(site)).status == 200
         assert await check_ready(site, gateway) == 200
 
@@ -276,12 +276,12 @@
             gateway = site.gateways[0]
             body = orjson.dumps({"items": [{"id": "i", "path": "/lot/1", "body": ""}]})
             await site.call("POST", "/lot/x", body, X_Pimentowick_Request_Id="j")
-            jobs = gateway.storage.book.jobs
+            jobs = gateway.storage.job_table.jobs
             await wait_true(lambda: any(found.results for found in jobs.values()))
             await wait_true(lambda: not gateway.runner._saving)
             for found in jobs.values():
                 found.submitted_s = 0.0
-            await gateway._retention.remove_old()
+            await gateway._retention.remove_expired_jobs()
             newest = [
                 key
                 for (topic, _), part in site.store.partitions.items()
--- a/pimentowick/gateway/tests/test_handover.py
+++ b/pimentowick/gateway/tests/test_handover.py
@@ -100,10 +100,10 @@
     # leave the items standing for seconds.
     found, ours, _ = make_handover({1}, is_alone=True)
     ours.owned, ours.recording = frozenset({1}), frozenset({2})
-    assert found.list_held() == {1}
+    assert found.list_held_partitions() == {1}
     found, ours, _ = make_handover({1})
     ours.owned, ours.recording = frozenset({1}), frozenset({2})
-    assert found.list_held() == {1, 2}
+    assert found.list_held_partitions() == {1, 2}
 
 
 def test_entry_that_was_just_started_listens_before_it_takes_parts():
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -434,7 +434,7 @@
     async def check(site):
         cut = site.gateways[0]
         assert (await submit(site, make_body(1), "known", entry=1)).status == 202
-        jobs = cut.storage.book.jobs
+        jobs = cut.storage.job_table.jobs
         await wait.wait_for(lambda: "known" in jobs, 10, 0.01)
         cut._supervisor.stop_child("ownership")
         site.store.board.place(faults.Order("stall"))
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -33,7 +33,7 @@
             settings = platform_site.make_settings(site.store.address)
             fresh = await site.start_entry(settings)
             await wait.wait_for(lambda: fresh.storage.is_loaded, 10, 0.01)
-            assert len(fresh.storage.book.open_jobs) == JOBS
+            assert len(fresh.storage.job_table.open_jobs) == JOBS
             assert count_read(fresh) < JOBS * ITEMS * 1_000
             answer = await site.call("GET", "/-/items/job0?id=item1", entry=1)
             assert answer.body == b"x" * BODY_BYTES
@@ -201,7 +201,7 @@
         listing = made.give_up(5)
         await lose_first_answer(outside, late_s, listing)
         outcomes = outside.get_partition("keyed.outcomes", 0)
-        jobs = other.storage.book.jobs
+        jobs = other.storage.job_table.jobs
         await wait.wait_for(lambda: jobs["j"].results, 5, 0.005)
         if late_s != NEVER_S:
             await wait.wait_for(lambda: outcomes.end >= 2, 5, 0.005)
--- a/pimentowick/gateway/tests/test_ledger.py
+++ b/pimentowick/gateway/tests/test_ledger.py
@@ -145,7 +145,7 @@
     async def check(outside, writers):
         reader = writers[1]
         await writers[0].ledger.commit(make_add("a"), 10)
-        await wait.wait_for(lambda: "a" in reader.ledger.book.jobs, 5, 0.005)
+        await wait.wait_for(lambda: "a" in reader.ledger.job_table.jobs, 5, 0.005)
         outside.board.place(faults.Order("down", path="/-/log-read"))
         partition = outside.get_partition(writer.TOPIC, 0)
         outside.put(writer.TOPIC, "j/a", b"")
@@ -154,6 +154,8 @@
         outside.put(writer.TOPIC, made.key, made.value)
         partition.trim(partition.end)
         outside.board.place(faults.Order("clear"))
-        await wait.wait_for(lambda: set(reader.ledger.book.jobs) == {"b"}, 5, 0.005)
+        await wait.wait_for(
+            lambda: set(reader.ledger.job_table.jobs) == {"b"}, 5, 0.005
+        )
 
     writer.run_with(check)
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -64,7 +64,7 @@
 
 
 def is_renewed(outside, found):
-    return outside.refused and found.get_age() < 60
+    return outside.refused and found.get_lease_age() < 60
 
 
 def test_entry_that_alone_lost_the_store_stops_its_part_of_the_batch_work():
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -27,7 +27,7 @@
     """Let an entry hear nothing more of the configuration from the store."""
     gateway._supervisor.stop_child("feed configuration")
     feed = gateway._feeds["configuration"]
-    feed.proved_at = feed.clock() - age_s
+    feed.fresh_at_boottime = feed.clock() - age_s
     return feed
 
 
@@ -53,7 +53,9 @@
         site.publish([CHAT])
         await wait.wait_for(lambda: other.configuration.current.version == 2, 10, 0.01)
         await wait.wait_for(
-            lambda: feed.clock() - feed.proved_at < peer_configuration.ASK_AGE_S,
+            lambda: (
+                feed.clock() - feed.fresh_at_boottime < peer_configuration.ASK_AGE_S
+            ),
             10,
             0.01,
         )
@@ -67,12 +69,12 @@
 def test_entries_that_all_lost_the_store_do_not_keep_each_other_young():
     async def check(site):
         feeds = [cut_off(gateway, 6.0) for gateway in site.gateways]
-        proved_at = max(feed.proved_at for feed in feeds)
+        fresh_at_boottime = max(feed.fresh_at_boottime for feed in feeds)
         for gateway, other in zip(site.gateways, reversed(site.gateways), strict=True):
             address = other.neighbours.address
             await gateway._peer_configuration.ask(address)
         # Each is as old as the youngest, and no younger.
-        assert all(feed.proved_at <= proved_at for feed in feeds)
+        assert all(feed.fresh_at_boottime <= fresh_at_boottime for feed in feeds)
         assert await send(site, "k3y-1") == 503
 
     run_with(check)
@@ -82,7 +84,7 @@
     """Return the feed of an entry that asks a neighbour which answers with a body."""
     gateway._supervisor.stop_child("peer configuration")
     feed = cut_off(gateway, 6.0)
-    feed.proved_at = 0.0
+    feed.fresh_at_boottime = 0.0
     clock = iter(times)
     feed.clock = lambda: next(clock)
     asked = gateway._peer_configuration
@@ -100,7 +102,7 @@
         body = b'{"version": 1, "age_s": 1.0, "record": null}'
         feed, asked = make_asked(site.gateways[0], body, [100.0, 104.0, 104.0])
         await asked.ask("127.0.0.1:1")
-        assert feed.proved_at == 99.0
+        assert feed.fresh_at_boottime == 99.0
 
     run_with(check)
 
@@ -122,7 +124,7 @@
     async def check(site):
         feed, asked = make_asked(site.gateways[0], body, [100.0] * 5)
         await asked.ask("127.0.0.1:1")
-        assert feed.proved_at == 0.0
+        assert feed.fresh_at_boottime == 0.0
         assert site.gateways[0].configuration.current.version == 1
 
     run_with(check)
--- a/pimentowick/gateway/tests/test_transcript.py
+++ b/pimentowick/gateway/tests/test_transcript.py
@@ -20,7 +20,7 @@
 
     async def open_transcript(self):
         """Return the item's transcript as an entry has it that takes the item over."""
-        jobs = self.storage.book.jobs
+        jobs = self.storage.job_table.jobs
         await wait.wait_for(lambda: "j" in jobs, 5, 0.005)
         made = transcript.Transcript(self.storage, jobs["j"], 0)
         made.take_contents(await self.storage.contents.read_all("j"))
@@ -28,7 +28,7 @@
 
     async def read_text(self):
         """Return the text that is listed, once it is."""
-        found = self.storage.book.jobs["j"]
+        found = self.storage.job_table.jobs["j"]
         await wait.wait_for(lambda: found.results, 5, 0.005)
         (listed,) = found.results
         named = await self.storage.contents.read("j", [listed.text])
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -50,7 +50,7 @@
     @property
     def is_wanted(self):
         """Whether the item still has to run."""
-        known = self._storage.book.jobs.get(self._job.id)
+        known = self._storage.job_table.jobs.get(self._job.id)
         return known is self._job and self._job.needs_run(self.number)
 
     @property
