--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -1,13 +1,13 @@
-"""Bodies and texts of batch jobs: written once, read where they are needed.
+"""Storage of item bodies and texts, written once and read on demand.
 
 Notes:
-    They are nearly all of a job's bytes. Each job has a partition of one of some keyed
-    topics, in which its contents lie under their names. A reference says at which
-    offset one was written, so that it is read alone and exactly; once the log has
-    dropped that offset, the newest records of the job are read instead.
+    These contents are most of the bytes of a job. Each job is hashed to a partition of
+    one of several keyed topics and stores its contents there by name. A reference holds
+    the log offset of a content, so that it can be read directly. If the log has been
+    truncated past that offset, the newest records of the job are read instead.
 
-    A name is written once, or again with the same bytes, so that an append without an
-    answer may be tried again and may land late.
+    A name is only ever written with the same bytes, so that an append is idempotent and
+    can be retried.
 """
 
 import asyncio
@@ -24,36 +24,35 @@
 
 __all__ = ["Contents", "MissingError", "Reference"]
 
-FIRST_DELAY_S = 0.05
-LAST_DELAY_S = 0.8
-# Spread over many partitions, the newest records of one job come with those of few
-# others.
-TOPICS = 16
-# Room for the key and the frame within the largest record of the store.
-RECORD_MARGIN = 1_024
-# Well below the store's limit of a call, for the frames of the records.
-CALL_SHARE = 0.9
-# Texts that callers read again and again; an entry has 200 MB or more.
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.8
+# With many partitions, reading the newest records of a job returns few other jobs.
+TOPIC_COUNT = 16
+# Leaves room for the key and the framing within the store's limit of a record.
+RECORD_OVERHEAD_BYTES = 1_024
+# Leaves room for record framing within the store's limit of a call.
+MAX_CALL_SHARE = 0.9
+# Callers read the same texts repeatedly.
 CACHE_BYTES = 4_000_000
-KILOBYTE = 1_024
-# Contents that lie apart are read one a call, unless there are more of them.
-MOST_READS = 4
-# Frames and keys of the records beside their bytes.
-FRAME_BYTES = 300
+KIBIBYTE = 1_024
+# Above this number of separate offset ranges, all contents of the job are read.
+MAX_LOG_READS = 4
+# Framing and key of a record.
+FRAME_OVERHEAD_BYTES = 300
 
 
 class MissingError(exception.LogError):
-    """The store has no content of that name."""
+    """The store does not hold the referenced content."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reference:
-    """Where some bytes of a job lie.
+    """Location of one content of a job.
 
     Attributes:
         name: Name among the contents of the job.
         offset: Offset of the first record in the job's partition.
-        chunks: Number of records, one behind the other.
+        chunks: Number of consecutive records.
         size: Number of bytes.
 
     Examples:
@@ -69,11 +68,11 @@
 
     @classmethod
     def decode(cls, row):
-        """Return the reference that `encode` made a row of."""
+        """Return the reference encoded in a row."""
         return cls(*row)
 
     def encode(self):
-        """Return the reference as a row for a record."""
+        """Return the reference as a row of a record."""
         return [self.name, self.offset, self.chunks, self.size]
 
 
@@ -82,81 +81,85 @@
 
     Args:
         store: `pimentowick.platform.store.Store`.
-        parts: Number of partitions of a topic.
-        record_bytes: Largest record of the store.
-        call_bytes: Most bytes of one append.
+        parts: Number of partitions of each topic.
+        record_bytes: Maximum size of a record, in bytes.
+        call_bytes: Maximum size of one append, in bytes.
     """
 
     def __init__(self, store, parts, record_bytes, call_bytes):
         self._store = store
-        self._parts = parts
-        self._record_bytes = record_bytes - RECORD_MARGIN
-        self._call_bytes = call_bytes * CALL_SHARE
+        self._partition_count = parts
+        self._record_bytes = record_bytes - RECORD_OVERHEAD_BYTES
+        self._call_bytes = call_bytes * MAX_CALL_SHARE
         self._cache = collections.OrderedDict()
         self._cached_bytes = 0
 
     def _find_partition(self, job_id):
-        number = zlib.crc32(job_id.encode()) % (TOPICS * self._parts)
-        topic, part = divmod(number, self._parts)
-        return platform_store.keyed_topic(f"contents{topic}"), part
+        number = zlib.crc32(job_id.encode()) % (TOPIC_COUNT * self._partition_count)
+        topic, partition = divmod(number, self._partition_count)
+        return platform_store.keyed_topic(f"contents{topic}"), partition
 
-    async def put(self, job_id, named, timeout_s):
-        """Write some contents of a job, again and again until they are written.
+    async def put(self, job_id, contents, timeout_s):
+        """Write contents of a job, with retries.
 
         Args:
             job_id: Identifier of the job.
-            named: Bytes by name.
-            timeout_s: How long to try, in seconds.
+            contents: Bytes by name.
+            timeout_s: Timeout of all attempts, in seconds.
 
         Returns:
             The `Reference` objects by name.
 
         Raises:
-            LogError: Not all of them are known to be written.
+            LogError: Some contents may not be written.
         """
-        found = {}
+        references = {}
         ends_at = time.monotonic() + timeout_s
-        for call in self._split_calls(job_id, named):
-            records = [record for group in call.values() for record in group]
+        for batch in self._split_batches(job_id, contents):
+            records = [record for group in batch.values() for record in group]
             end = await self._append(job_id, records, ends_at)
             offset = end - len(records)
-            for name, group in call.items():
-                found[name] = Reference(name, offset, len(group), len(named[name]))
+            for name, group in batch.items():
+                references[name] = Reference(
+                    name, offset, len(group), len(contents[name])
+                )
                 offset += len(group)
-        return found
+        return references
 
     async def _append(self, job_id, records, ends_at):
-        topic, part = self._find_partition(job_id)
-        delay = FIRST_DELAY_S
+        topic, partition = self._find_partition(job_id)
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 async with asyncio.timeout(ends_at - time.monotonic()):
                     return await hedging.hedge(
-                        lambda: self._store.append(topic, part, records, None)
+                        lambda: self._store.append(topic, partition, records, None)
                     )
             except TimeoutError:
-                raise exception.LogError("The store took no contents.") from None
+                raise exception.LogError(
+                    f"{job_id}: the contents were not written before the timeout."
+                ) from None
             except exception.LogError:
-                if time.monotonic() + delay >= ends_at:
+                if time.monotonic() + backoff_s >= ends_at:
                     raise
-            await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-            delay = min(delay * 2, LAST_DELAY_S)
+            await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
-    def _split_calls(self, job_id, named):
-        """Return the records by name for each append that is needed."""
-        calls = [{}]
+    def _split_batches(self, job_id, contents):
+        """Return the records by name, split into appends within the size limit."""
+        batches = [{}]
         size = 0
-        for name, value in named.items():
-            if calls[-1] and size + len(value) > self._call_bytes:
-                calls.append({})
+        for name, value in contents.items():
+            if batches[-1] and size + len(value) > self._call_bytes:
+                batches.append({})
                 size = 0
-            calls[-1][name] = self._make_records(job_id, name, value)
+            batches[-1][name] = self._make_records(job_id, name, value)
             size += len(value)
-        return calls
+        return batches
 
     def _make_records(self, job_id, name, value):
         count = max(1, math.ceil(len(value) / self._record_bytes))
-        # An empty record would drop the key, so each begins with a byte of its own.
+        # An empty value is a tombstone, so each value starts with a marker byte.
         return [
             platform_store.KeyedRecord(
                 _make_key(job_id, name, index),
@@ -166,101 +169,111 @@
         ]
 
     async def drop(self, job_id, references):
-        """Drop some contents that nobody reads any more.
+        """Delete the given contents of a job.
 
         Raises:
-            LogError: They are not known to be dropped.
+            LogError: The append was not acknowledged.
         """
-        topic, part = self._find_partition(job_id)
+        topic, partition = self._find_partition(job_id)
         records = [
-            platform_store.KeyedRecord(_make_key(job_id, found.name, index), b"")
-            for found in references
-            for index in range(found.chunks)
+            platform_store.KeyedRecord(_make_key(job_id, reference.name, index), b"")
+            for reference in references
+            for index in range(reference.chunks)
         ]
         if records:
-            await self._store.append(topic, part, records, None)
+            await self._store.append(topic, partition, records, None)
 
     async def drop_all(self, job_id):
-        """Drop whatever a job has.
+        """Delete all contents of a job.
 
         Raises:
-            LogError: It is not known to be dropped.
+            LogError: The append was not acknowledged.
         """
-        topic, part = self._find_partition(job_id)
-        found = await self._store.read_prefix(topic, part, _make_key(job_id, "", None))
-        records = [platform_store.KeyedRecord(record.key, b"") for record in found]
+        topic, partition = self._find_partition(job_id)
+        newest_records = await self._store.read_prefix(
+            topic, partition, _make_key(job_id, "", None)
+        )
+        records = [
+            platform_store.KeyedRecord(record.key, b"") for record in newest_records
+        ]
         if records:
-            await self._store.append(topic, part, records, None)
+            await self._store.append(topic, partition, records, None)
 
-    def has(self, job_id, references):
-        """Return whether all of some contents are kept here."""
-        return all((job_id, found.name) in self._cache for found in references)
+    def has_cached(self, job_id, references):
+        """Return whether the cache holds all of the given contents."""
+        return all((job_id, reference.name) in self._cache for reference in references)
 
-    async def read(self, job_id, references, keep=True):
-        """Return some contents of a job, bytes by name.
+    async def read(self, job_id, references, cache=True):
+        """Return the given contents of a job, bytes by name.
 
         Args:
             job_id: Identifier of the job.
             references: The `Reference` objects.
-            keep: Whether they are kept for a while, since they may be asked for again.
+            cache: Whether to add the contents to the cache.
 
         Raises:
-            MissingError: The store does not have all of them.
-            LogError: The store gives no answer.
+            MissingError: The store does not hold all of them.
+            LogError: The store did not answer.
         """
-        found = {}
-        wanted = []
+        loaded = {}
+        missing = []
         for reference in references:
             cached = self._get_cached(job_id, reference.name)
             if cached is None:
-                wanted.append(reference)
+                missing.append(reference)
             else:
-                found[reference.name] = cached
-        groups = _group_neighbours(wanted)
-        if len(groups) > MOST_READS:
-            found |= _choose(job_id, wanted, await self.read_all(job_id))
+                loaded[reference.name] = cached
+        groups = _group_contiguous(missing)
+        if len(groups) > MAX_LOG_READS:
+            loaded |= _select(job_id, missing, await self.read_all(job_id))
         else:
-            for named in await asyncio.gather(
+            for contents in await asyncio.gather(
                 *(self._read_group(job_id, group) for group in groups)
             ):
-                found |= named
-        if keep:
-            for name, value in found.items():
-                self._keep(job_id, name, value)
-        return found
+                loaded |= contents
+        if cache:
+            for name, value in loaded.items():
+                self._add_to_cache(job_id, name, value)
+        return loaded
 
     async def _read_group(self, job_id, group):
-        named = await self._read_log(job_id, group)
-        if not all(_is_whole(reference, named) for reference in group):
-            named = await self.read_all(job_id)
-        return _choose(job_id, group, named)
+        contents = await self._read_log(job_id, group)
+        if not all(_is_complete(reference, contents) for reference in group):
+            contents = await self.read_all(job_id)
+        return _select(job_id, group, contents)
 
     async def _read_log(self, job_id, group):
-        """Return what of a group the log still has, by its offsets."""
-        topic, part = self._find_partition(job_id)
-        size = sum(entry.size + FRAME_BYTES * entry.chunks for entry in group)
+        """Return the contents of a group that are still at their offsets in the log."""
+        topic, partition = self._find_partition(job_id)
+        size = sum(
+            reference.size + FRAME_OVERHEAD_BYTES * reference.chunks
+            for reference in group
+        )
         try:
             page = await hedging.hedge(
                 lambda: self._store.read(
-                    topic, part, group[0].offset, most_kb=math.ceil(size / KILOBYTE)
+                    topic,
+                    partition,
+                    group[0].offset,
+                    most_kb=math.ceil(size / KIBIBYTE),
                 )
             )
         except exception.LogTruncatedError:
             return {}
-        return _join(job_id, page.records)
+        return _join_chunks(job_id, page.records)
 
     async def read_all(self, job_id):
-        """Return all contents of a job that are not dropped, bytes by name.
+        """Return all contents of a job, bytes by name.
 
         Raises:
-            LogError: The store gives no answer.
+            LogError: The store did not answer.
         """
-        topic, part = self._find_partition(job_id)
+        topic, partition = self._find_partition(job_id)
         prefix = _make_key(job_id, "", None)
-        found = await hedging.hedge(
-            lambda: self._store.read_prefix(topic, part, prefix)
+        newest_records = await hedging.hedge(
+            lambda: self._store.read_prefix(topic, partition, prefix)
         )
-        return _join(job_id, found)
+        return _join_chunks(job_id, newest_records)
 
     def _get_cached(self, job_id, name):
         value = self._cache.get((job_id, name))
@@ -268,7 +281,7 @@
             self._cache.move_to_end((job_id, name))
         return value
 
-    def _keep(self, job_id, name, value):
+    def _add_to_cache(self, job_id, name, value):
         if (job_id, name) in self._cache:
             return
         self._cache[job_id, name] = value
@@ -279,15 +292,15 @@
 
 
 def _make_key(job_id, name, index):
-    """Return the key of a chunk, or what all keys of a job begin with.
+    """Return the key of a chunk, or the key prefix of a job if `index` is None.
 
-    The end of the name is marked, so that a chunk of one is never taken for another's.
+    A separator ends the name, so that no name is a prefix of another one's keys.
     """
     return f"{job_id}/{name}" if index is None else f"{job_id}/{name}#{index:05d}"
 
 
-def _join(job_id, records):
-    """Return the bytes by name of the records of a job that are whole."""
+def _join_chunks(job_id, records):
+    """Join the chunks of each name; return bytes by name."""
     chunks = {}
     prefix = _make_key(job_id, "", None)
     for record in records:
@@ -295,30 +308,34 @@
             name, _, index = record.key[len(prefix) :].rpartition("#")
             chunks.setdefault(name, {})[int(index)] = record.value[1:]
     return {
-        name: b"".join(found[index] for index in sorted(found))
-        for name, found in chunks.items()
+        name: b"".join(values[index] for index in sorted(values))
+        for name, values in chunks.items()
     }
 
 
-def _choose(job_id, references, named):
-    """Return what is referred to of some contents."""
+def _select(job_id, references, contents):
+    """Return the referenced contents; raise `MissingError` if one is incomplete."""
     for reference in references:
-        if not _is_whole(reference, named):
-            raise MissingError(f"{job_id} has no whole {reference.name}.")
-    return {reference.name: named[reference.name] for reference in references}
+        if not _is_complete(reference, contents):
+            raise MissingError(
+                f"{job_id}: content {reference.name} is missing or incomplete."
+            )
+    return {reference.name: contents[reference.name] for reference in references}
 
 
-def _is_whole(reference, named):
-    return reference.name in named and len(named[reference.name]) == reference.size
+def _is_complete(reference, contents):
+    return (
+        reference.name in contents and len(contents[reference.name]) == reference.size
+    )
 
 
-def _group_neighbours(references):
-    """Return the references in groups whose records lie one behind the other."""
+def _group_contiguous(references):
+    """Group references whose records are contiguous in the log."""
     groups = []
-    for entry in sorted(references, key=lambda found: found.offset):
+    for reference in sorted(references, key=lambda item: item.offset):
         last = groups[-1][-1] if groups else None
-        if last is not None and last.offset + last.chunks == entry.offset:
-            groups[-1].append(entry)
+        if last is not None and last.offset + last.chunks == reference.offset:
+            groups[-1].append(reference)
         else:
-            groups.append([entry])
+            groups.append([reference])
     return groups
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -1,4 +1,4 @@
-"""One run of a batch item at a target: what is sent, and what of it is kept."""
+"""One run of a batch item on a target, with periodic checkpoints."""
 
 import asyncio
 import dataclasses
@@ -8,34 +8,33 @@
 from pimentowick.gateway import decision, event, upstream
 from pimentowick.platform import message
 
-__all__ = ["Run", "Sink", "save_last", "send"]
+__all__ = ["Run", "Sink", "save_final", "send"]
 
-# Text that was generated is recorded this often, so that an entry that takes over
-# goes on there; a run of some seconds is lost otherwise.
-RECORD_EVERY_S = 1.0
-# How long a record of some text is tried; a later one holds all of it.
-RECORD_TIMEOUT_S = 2.0
-# A target stops at this time by itself, should this entry vanish.
-RUN_LIMIT_S = 30.0
-# An item whose run brings no event for so long has lost its target.
-SILENT_S = 4.0
+# Bounds the generated text that is lost when another entry takes over.
+CHECKPOINT_INTERVAL_S = 1.0
+# A failed checkpoint is covered by the next one.
+CHECKPOINT_TIMEOUT_S = 2.0
+# The target aborts the run after this time, for example if the entry crashes.
+MAX_RUN_S = 30.0
+# A run that receives no bytes for this long is aborted.
+IDLE_TIMEOUT_S = 4.0
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Run:
-    """One item that this entry has to run.
+    """One item that is queued or running at this entry.
 
     Attributes:
         job: The `pimentowick.gateway.job.Job`.
         route: The `pimentowick.gateway.route.Route` of the job.
-        service: Name of the service that the item goes to.
+        service: Name of the service that runs the item.
         transcript: The `pimentowick.gateway.transcript.Transcript`.
         service_time: The `service_time.ServiceTime` of the route (`gateway.policy`).
-        is_whole: Whether all of its text is here and only has to be listed.
-        not_before: Monotonic time of the next try.
-        failures: Tries in a row without an event.
-        target: The `pimentowick.gateway.target.Target`, while it runs.
-        task: The task, while it runs.
+        is_complete: Whether the text is complete and only its result is unrecorded.
+        not_before: Monotonic time before which the item is not started.
+        failures: Number of consecutive runs without an event.
+        target: The `pimentowick.gateway.target.Target` while running, else None.
+        task: The `asyncio.Task` while running, else None.
     """
 
     job: object
@@ -43,7 +42,7 @@
     service: str
     transcript: object
     service_time: object
-    is_whole: bool = False
+    is_complete: bool = False
     not_before: float = 0.0
     failures: int = 0
     target: object = None
@@ -56,59 +55,59 @@
 
     @property
     def due_at(self):
-        """Unix time at which the item is due."""
+        """Unix time by which the item is due."""
         return self.job.submitted_s + self.route.due_s
 
     @property
     def steps_done(self):
-        """Events made here."""
-        return self.transcript.made
+        """Number of events generated at this entry."""
+        return self.transcript.events_generated
 
     @property
     def left_s(self):
-        """Seconds that the item still has to run."""
+        """Estimated remaining run time, in seconds."""
         return self.service_time.estimate_left(self.transcript.count_events())
 
 
 class Sink(upstream.Sink):
-    """Collects the events of one run."""
+    """Adds the events of one run to a transcript."""
 
     def __init__(self, transcript):
         self._transcript = transcript
         self._splitter = event.EventSplitter()
         self.status = 0
         self.events = 0
-        self.in_order = True
-        self.heard_at = time.monotonic()
+        self.is_in_order = True
+        self.last_received_at = time.monotonic()
 
     async def take_head(self, status, headers, answer):
-        """Take the head; see `upstream.Sink`."""
+        """Check the response headers; see `upstream.Sink`."""
         self.status = status
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         if not answer.signed or answer.encoded:
-            self.in_order = False
+            self.is_in_order = False
 
     async def take_chunk(self, chunk):
-        """Take some bytes; see `upstream.Sink`."""
+        """Parse events from a chunk of the body; see `upstream.Sink`."""
         if self.status != 200:
             return
-        self.heard_at = time.monotonic()
-        for entry in self._splitter.feed(chunk):
-            self._take(entry)
+        self.last_received_at = time.monotonic()
+        for received_event in self._splitter.feed(chunk):
+            self._add_event(received_event)
 
-    def _take(self, entry):
-        if entry.id is None or not self.in_order:
+    def _add_event(self, received_event):
+        if received_event.id is None or not self.is_in_order:
             return
-        self.in_order = self._transcript.add(entry)
-        self.events += self.in_order
+        self.is_in_order = self._transcript.add(received_event)
+        self.events += self.is_in_order
 
-    def is_whole(self):
-        """Return whether the stream ended between two events, all in order."""
-        return self._splitter.is_empty() and self.in_order
+    def is_complete(self):
+        """Return whether the stream ended after a whole event, with none missing."""
+        return self._splitter.is_empty() and self.is_in_order
 
 
 async def send(run, target, pool):
-    """Send an item to a target, recording its text from time to time.
+    """Run an item on a target, with periodic checkpoints.
 
     Args:
         run: The `Run`.
@@ -118,47 +117,58 @@
     Returns:
         The `upstream.Outcome` and the `Sink`.
     """
-    made = run.transcript
-    sink = Sink(made)
+    item_transcript = run.transcript
+    sink = Sink(item_transcript)
     headers = message.encode_item(
-        run.item, len(made.body), run.job, RUN_LIMIT_S, target.id, made.last_event
+        run.item,
+        len(item_transcript.body),
+        run.job,
+        MAX_RUN_S,
+        target.id,
+        item_transcript.last_event,
     )
-    request = upstream.Request(run.item.id, "POST", run.item.path, headers, made.body)
-    saver = asyncio.create_task(_save_often(made))
+    request = upstream.Request(
+        run.item.id, "POST", run.item.path, headers, item_transcript.body
+    )
+    checkpointing = asyncio.create_task(_checkpoint_periodically(item_transcript))
     sending = asyncio.ensure_future(pool.send(request, sink))
     try:
-        outcome = await _watch(sending, sink)
+        outcome = await _wait_until_idle(sending, sink)
     finally:
         sending.cancel()
-        saver.cancel()
-        await asyncio.gather(saver, sending, return_exceptions=True)
+        checkpointing.cancel()
+        await asyncio.gather(checkpointing, sending, return_exceptions=True)
     return outcome, sink
 
 
-async def _save_often(made):
-    """Record the text of a run from time to time until cancelled."""
+async def _checkpoint_periodically(item_transcript):
+    """Write a checkpoint at a fixed interval until cancelled."""
     while True:
-        await asyncio.sleep(RECORD_EVERY_S)
+        await asyncio.sleep(CHECKPOINT_INTERVAL_S)
         try:
-            await made.save(RECORD_TIMEOUT_S)
+            await item_transcript.save(CHECKPOINT_TIMEOUT_S)
         except exception.LogError as error:
-            decision.note_request("item.unrecorded", made.item.id, why=str(error))
+            decision.note_request(
+                "item.unrecorded", item_transcript.item.id, why=str(error)
+            )
 
 
-async def save_last(made, timeout_s):
-    """Record the text of a run that has ended here; a failure is logged only."""
+async def save_final(item_transcript, timeout_s):
+    """Write the checkpoint of a stopped run; only log a failure."""
     try:
-        await made.save(timeout_s)
+        await item_transcript.save(timeout_s)
     except exception.LogError as error:
-        decision.note_request("item.unrecorded", made.item.id, why=str(error))
+        decision.note_request(
+            "item.unrecorded", item_transcript.item.id, why=str(error)
+        )
 
 
-async def _watch(sending, sink):
-    """Return the outcome of a run, or give it up once nothing comes any more."""
+async def _wait_until_idle(sending, sink):
+    """Return the outcome of a run, or `End.CUT` if it stays silent too long."""
     while True:
-        left_s = sink.heard_at + SILENT_S - time.monotonic()
+        left_s = sink.last_received_at + IDLE_TIMEOUT_S - time.monotonic()
         done, _ = await asyncio.wait({sending}, timeout=max(0.0, left_s))
         if done:
             return sending.result()
-        if time.monotonic() - sink.heard_at >= SILENT_S:
+        if time.monotonic() - sink.last_received_at >= IDLE_TIMEOUT_S:
             return upstream.Outcome(upstream.End.CUT, "silent")
--- a/pimentowick/gateway/feed.py
+++ b/pimentowick/gateway/feed.py
@@ -1,9 +1,9 @@
-"""Following one keyed partition of the store: the newest records, then the changes.
+"""Follows a keyed partition of the store: a snapshot, then all later records.
 
 Notes:
-    List, then watch: the newest record of each key is read once, and the log from
-    there on; when records are gone that were not read, everything is read anew.
-    While the store is away, what was known stays.
+    List and watch: the newest record of each key is read once, then the log from that
+    offset on. If the log was truncated past the last offset read, a new snapshot is
+    read. During an outage of the store the last known state is kept.
 
 References:
     Kubernetes client-go, informers and reflectors (list and watch).
@@ -18,62 +18,63 @@
 
 __all__ = ["Feed", "Follower"]
 
-FIRST_DELAY_S = 0.1
-LAST_DELAY_S = 1.0
-# Reads of a megabyte until the end is reached, many more than a partition holds.
-MOST_READS = 100
-# Spreads the reads of entries that were started together.
-JITTER = 0.2
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+# A refresh reads at most this many pages, far more than a partition holds.
+MAX_REFRESH_READS = 100
+# Spreads the reads of entries that start at the same time.
+PAUSE_JITTER = 0.2
 
 
 class Follower:
-    """What a feed tells; the methods do nothing by default."""
+    """Receives the records of a feed; the methods do nothing by default."""
 
     def preview(self, records):
-        """Take some of the newest records while the first read is under way."""
+        """Process part of the first snapshot before it is complete."""
 
     def reset(self, records):
-        """Take the newest record of each key, in order of offset."""
+        """Replace the state by a snapshot of the newest records, in order of offset."""
 
     def apply(self, record):
-        """Take the next record; an empty value drops its key."""
+        """Apply one record; an empty value deletes its key."""
 
     def on_caught_up(self):
-        """Note that all records that the store had were told."""
+        """Handle a read that has reached the end of the partition."""
 
 
-def read_clock():
-    """Return a time in seconds that goes on while the host is suspended."""
+def read_boottime():
+    """Return a monotonic time, in seconds, that includes the time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Feed:
-    """Reads one partition for as long as it runs.
+    """Reads one partition continuously.
 
     Args:
         store: `pimentowick.platform.store.Store`.
         topic: Name of a keyed topic.
-        part: Number of the partition.
-        follower: The `Follower` that is told.
-        pause_s: Pause between two reads that found records, in seconds. Reads are
-            paid for, and a busy topic would otherwise be read once a record.
-        wait_s: How long the store may hold a read, in seconds. A connection that
-            fell silent is noticed after this time and the store's timeout.
-        clock: Function that returns the time of `fresh_at_boottime`.
+        partition: Number of the partition.
+        follower: The `Follower` that receives the records.
+        pause_s: Pause after a read that returned records, in seconds. It batches the
+            records of a busy topic, since each read has a cost.
+        wait_s: Maximum duration of a long poll, in seconds. A dead connection is
+            detected after this time plus the timeout of the store.
+        clock: Function that returns the time used for `fresh_at_boottime`.
 
     Attributes:
-        end: Offset behind the last record read, or None before the first.
-        fresh_at: Monotonic time as of which the records are known to be complete.
-        fresh_at_boottime: The same moment, on the clock that goes on while the host is
-            suspended.
-        unreachable_since: Monotonic time since which reads fail, or None.
-        recovered_at: Monotonic time at which reads worked again after a failure.
+        end: Offset after the last record read, or None before the first snapshot.
+        fresh_at: Monotonic time at which the state was last known to be complete.
+        fresh_at_boottime: The same, on a clock that includes the time suspended.
+        unreachable_since: Monotonic time of the first failed read, or None.
+        recovered_at: Monotonic time of the first successful read after failures.
     """
 
-    def __init__(self, store, topic, part, follower, pause_s, wait_s, clock=read_clock):
+    def __init__(
+        self, store, topic, partition, follower, pause_s, wait_s, clock=read_boottime
+    ):
         self.store = store
         self.topic = topic
-        self.part = part
+        self.partition = partition
         self.follower = follower
         self.pause_s = pause_s
         self.wait_s = wait_s
@@ -88,125 +89,126 @@
 
     async def run(self):
         """Read until cancelled."""
-        delay = FIRST_DELAY_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
-                found = await self._read_once(self.wait_s)
+                has_new_records = await self._read_once(self.wait_s)
             except exception.LogError as error:
-                self._note_lost(error)
-                await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, LAST_DELAY_S)
+                self._on_read_failed(error)
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
                 continue
-            delay = FIRST_DELAY_S
-            if found:
-                spread = random.uniform(1 - JITTER, 1 + JITTER)
-                await asyncio.sleep(self.pause_s * spread)
+            backoff_s = INITIAL_BACKOFF_S
+            if has_new_records:
+                jitter = random.uniform(1 - PAUSE_JITTER, 1 + PAUSE_JITTER)
+                await asyncio.sleep(self.pause_s * jitter)
 
     async def refresh(self):
-        """Read up to the present end now.
+        """Read up to the current end of the partition.
 
-        A read of everything that began before may end meanwhile, and one read may
-        not reach the end: what counts is a read from now on that does.
+        A read that was already in progress may return older state, and one read may
+        not reach the end. Reads repeat until one that began after this call does.
 
         Raises:
-            LogError: The store gave no answer, or the end was not reached.
+            LogError: The store did not answer, or the end was not reached.
         """
-        asked_at = time.monotonic()
-        for _ in range(MOST_READS):
+        requested_at = time.monotonic()
+        for _ in range(MAX_REFRESH_READS):
             await self._read_once(0.0)
-            if self.fresh_at >= asked_at:
+            if self.fresh_at >= requested_at:
                 return
-        raise exception.LogError(f"{self.topic}: the end was not reached.")
+        raise exception.LogError(
+            f"{self.topic}: end not reached after {MAX_REFRESH_READS} reads."
+        )
 
-    async def wait_changed(self, timeout_s):
-        """Wait until records were taken, or for `timeout_s` seconds."""
+    async def wait_for_change(self, timeout_s):
+        """Wait until records are applied, for at most `timeout_s` seconds."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._changed.wait()
         except TimeoutError:
             pass
 
-    def take(self, records, start):
-        """Take records from the offset `start` on; those known are passed over."""
-        taken = False
+    def apply_records(self, records, start):
+        """Apply records that begin at offset `start`; skip those already applied."""
+        is_changed = False
         for offset, record in enumerate(records, start):
             if offset >= self.end:
                 self.follower.apply(record)
-                taken = True
+                is_changed = True
         self.end = max(self.end, start + len(records))
-        if taken:
-            self._tell_changed()
+        if is_changed:
+            self._notify_changed()
 
     async def _read_once(self, wait_s):
-        asked_at = time.monotonic()
-        proves_at = self.clock()
+        requested_at = time.monotonic()
+        requested_at_boottime = self.clock()
         if self.end is None:
             await self._load()
             return True
         start = self.end
         try:
-            page = await self.store.read(self.topic, self.part, start, wait_s)
+            page = await self.store.read(self.topic, self.partition, start, wait_s)
         except exception.LogTruncatedError as error:
             decision.note_belief("feed.gap", topic=self.topic, why=str(error))
             await self._load()
             return True
-        found = self._take_page(page)
+        has_new_records = self._take_page(page)
         if self.end >= page.log_end:
-            self._note_fresh(asked_at, proves_at)
-        return found
+            self._on_end_reached(requested_at, requested_at_boottime)
+        return has_new_records
 
     def _take_page(self, page):
-        taken = False
+        is_changed = False
         for record in page.records:
             if record.offset >= self.end:
                 self.follower.apply(record)
-                taken = True
+                is_changed = True
         self.end = max(self.end, page.end)
-        if taken:
-            self._tell_changed()
-        return taken
+        if is_changed:
+            self._notify_changed()
+        return is_changed
 
     async def _load(self):
-        known = self.end
+        end_before = self.end
         async with self._loading:
-            if self.end != known:
+            if self.end != end_before:
                 return
-            asked_at = time.monotonic()
-            proves_at = self.clock()
-            preview = self.follower.preview if self.end is None else _pass_over
-            page = await self.store.read_newest(self.topic, self.part, preview)
+            requested_at = time.monotonic()
+            requested_at_boottime = self.clock()
+            preview = self.follower.preview if self.end is None else _ignore_records
+            page = await self.store.read_newest(self.topic, self.partition, preview)
             later, end = await self._read_later(page)
             if self.end is not None and end < self.end:
                 return
-            known = [record for record in page.records if record.offset < page.end]
-            self.follower.reset(sorted(known, key=lambda record: record.offset))
+            snapshot = [record for record in page.records if record.offset < page.end]
+            self.follower.reset(sorted(snapshot, key=lambda record: record.offset))
             for record in later:
                 self.follower.apply(record)
             self.end = end
-        self._note_fresh(asked_at, proves_at)
-        self._tell_changed()
+        self._on_end_reached(requested_at, requested_at_boottime)
+        self._notify_changed()
 
     async def _read_later(self, page):
-        """Return (records written while the newest were read, offset behind them).
+        """Return (records written during the snapshot, offset after them).
 
-        The newest records come in pages that are no snapshot: of a job that is written
-        meanwhile one page may lack the bodies and the next hold the rest. What is
-        written after the first page is taken from the log, in order, and nothing of it
-        is told before all is there.
+        The pages of a snapshot are read one after the other, so that a record written
+        meanwhile may be in a later page without its predecessors. Records written after
+        the first page are therefore taken from the log in order, and applied together.
         """
         later = []
         end = page.end
         while end < page.log_end:
-            found = await self.store.read(self.topic, self.part, end)
-            if found.end <= end:
+            later_page = await self.store.read(self.topic, self.partition, end)
+            if later_page.end <= end:
                 break
-            later += found.records
-            end = found.end
+            later += later_page.records
+            end = later_page.end
         return later, end
 
-    def _note_fresh(self, asked_at, proves_at):
-        self.fresh_at = max(self.fresh_at, asked_at)
-        self.fresh_at_boottime = max(self.fresh_at_boottime, proves_at)
+    def _on_end_reached(self, requested_at, requested_at_boottime):
+        self.fresh_at = max(self.fresh_at, requested_at)
+        self.fresh_at_boottime = max(self.fresh_at_boottime, requested_at_boottime)
         if self.unreachable_since is not None:
             lost_s = time.monotonic() - self.unreachable_since
             decision.note_belief("feed.regained", topic=self.topic, lost_s=lost_s)
@@ -214,15 +216,15 @@
             self.recovered_at = time.monotonic()
         self.follower.on_caught_up()
 
-    def _note_lost(self, error):
+    def _on_read_failed(self, error):
         if self.unreachable_since is None:
             self.unreachable_since = time.monotonic()
             decision.note_belief("feed.lost", topic=self.topic, why=str(error))
 
-    def _tell_changed(self):
+    def _notify_changed(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def _pass_over(records):
-    """Take no notice of a page: what is known stays until all is read."""
+def _ignore_records(records):
+    """Ignore part of a snapshot: the current state stays until all of it is read."""
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -1,17 +1,16 @@
-"""When the parts of the batch work that this entry was dealt begin to run here.
+"""Handover of job partitions between entries.
 
 Notes:
-    The store deals parts anew while their holder still runs them: after an outage in
-    which all leases have lapsed, the first entry that renews is dealt all of them, and
-    now and then all are dealt anew at once. The holder learns it with its next
-    renewal, up to a third of a lease later. Begun before that, each item would run
-    twice, from a text that is some seconds old, in places that others need.
+    The store may reassign a partition while its old owner still runs it: after an
+    outage in which all leases expired, or in a rebalance. The old owner learns of this
+    at its next renewal. If the new owner started at once, items would run twice, from
+    outdated checkpoints, and occupy slots that others need.
 
-    So a part is left to a neighbour for as long as that says that it has it: it learns
-    soon that the part is not its own any more, records what its items have made, and
-    says so. One that is silent is not waited for, nor are the texts of one that alone
-    does not reach the store: they can't be recorded. An entry that was just started
-    listens first, since it knows nothing of what others hold.
+    The new owner therefore waits while a peer announces that it holds the partition.
+    The old owner stops its items, writes their checkpoints and then announces the
+    release. Peers that are silent are not waited for. An entry that alone has lost the
+    store does not announce partitions with unwritten checkpoints, since it cannot write
+    them. An entry that has just started first listens for announcements.
 """
 
 import asyncio
@@ -22,15 +21,14 @@
 
 __all__ = ["Handover"]
 
-# A holder that hears nothing of the store for a second, and tries again half a second
-# later, has let go by then.
-LONGEST_WAIT_S = 3.0
-# Well below the time that neighbours need to tell each other something.
-CHECK_S = 0.02
+# An old owner detects the loss of its lease and releases within this time.
+MAX_WAIT_S = 3.0
+# Shorter than the time in which peers exchange announcements.
+CHECK_INTERVAL_S = 0.02
 
 
 class Handover:
-    """Gives the runner the parts that are dealt to this entry.
+    """Transfers newly assigned partitions to the runner once they are free.
 
     Args:
         ownership: `pimentowick.gateway.ownership.Ownership`.
@@ -46,38 +44,40 @@
         self._neighbours = neighbours
 
     def list_held_partitions(self):
-        """Return the parts that nobody else should run yet."""
-        if self._ownership.is_alone:
-            return self._runner.owned
-        return self._runner.owned | self._runner.recording
+        """Return the partitions that other entries must not run yet."""
+        if self._ownership.released_while_cut_off:
+            return self._runner.owned_partitions
+        return self._runner.owned_partitions | self._runner.recording_partitions
 
     async def take_over(self):
-        """Give up the parts that are lost, and take each new one once it is free."""
-        wanted = self._ownership.parts
-        self._runner.own(self._runner.owned & wanted)
+        """Release lost partitions, and take over new ones once they are free."""
+        assigned = self._ownership.partitions
+        self._runner.set_partitions(self._runner.owned_partitions & assigned)
         while not self._neighbours.has_listened:
-            await asyncio.sleep(CHECK_S)
-        began_at = time.monotonic()
-        left = wanted - self._runner.owned
-        while left:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+        started_at = time.monotonic()
+        remaining = assigned - self._runner.owned_partitions
+        while remaining:
             held = frozenset()
-            if time.monotonic() - began_at < LONGEST_WAIT_S:
-                held = left & self._neighbours.list_held_parts()
-            if left - held:
+            if time.monotonic() - started_at < MAX_WAIT_S:
+                held = remaining & self._neighbours.list_held_parts()
+            if remaining - held:
                 await self._refresh()
-                self._runner.own(self._runner.owned | (left - held))
-                left = held
+                self._runner.set_partitions(
+                    self._runner.owned_partitions | (remaining - held)
+                )
+                remaining = held
                 decision.note_belief(
                     "ownership.taken",
-                    parts=sorted(self._runner.owned),
+                    parts=sorted(self._runner.owned_partitions),
                     waits_for=sorted(held),
-                    waited_s=time.monotonic() - began_at,
+                    waited_s=time.monotonic() - started_at,
                 )
                 continue
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _refresh(self):
-        """Read what the last holders recorded."""
+        """Read the outcomes that the previous owners recorded."""
         try:
             await self._storage.refresh()
         except exception.LogError as error:
--- a/pimentowick/gateway/history.py
+++ b/pimentowick/gateway/history.py
@@ -1,9 +1,9 @@
-"""What the decision logs of several gateways say of one request, or of a day.
+"""Explains requests, items and jobs from the decision logs of several gateways.
 
 Notes:
-    Only the logs are read. A line may begin with anything, such as a time and the
-    name of the host, before its JSON object; without that the file's name stands for
-    the process. Lines of other programs are passed over and counted.
+    Only log files are read. A line may have a prefix, such as a time and a host name,
+    before its JSON object; the last word of the prefix names the process. Without a
+    prefix the name of the file is used. Lines without a decision are only counted.
 """
 
 import collections
@@ -23,26 +23,33 @@
     "summarise",
 ]
 
-# What a gateway came to believe this long before a request may have decided it.
-BEFORE_S = 5.0
-AFTER_S = 1.0
-# The platform starts a process again within seconds of its end.
-RESTART_S = 10.0
-CONTEXT = ("feed.", "ownership.", "ledger.", "neighbour.", "configuration.", "gateway.")
-SLOWEST = 5
-COMMON = 10
-# Lines of something that is not over yet.
-UNDER_WAY = ("online.queued", "online.sent", "item.sent")
-EXPLAINED_CALLERS = ("caller.unidentified", "caller.over_quota")
+# State changes this close to a request are shown as context.
+CONTEXT_BEFORE_S = 5.0
+CONTEXT_AFTER_S = 1.0
+# The platform restarts a process within this time.
+MAX_RESTART_S = 10.0
+CONTEXT_EVENTS = (
+    "feed.",
+    "ownership.",
+    "ledger.",
+    "neighbour.",
+    "configuration.",
+    "gateway.",
+)
+SLOWEST_COUNT = 5
+TOP_COUNT = 10
+# A log that ends with one of these was cut off.
+IN_PROGRESS_EVENTS = ("online.queued", "online.sent", "item.sent")
+CALLER_EVENTS = ("caller.unidentified", "caller.over_quota")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One line of a log.
+    """One line of a decision log.
 
     Attributes:
-        process: Name of the process that wrote it.
-        data: Its fields.
+        process: Name of the process that wrote the line.
+        data: Fields of its JSON object.
     """
 
     process: str
@@ -50,35 +57,35 @@
 
     @property
     def time(self):
-        """Unix time at which it was written."""
+        """Unix time of the line."""
         return self.data["time"]
 
     @property
     def event(self):
-        """What was decided."""
+        """Name of the event."""
         return self.data["event"]
 
-    def to_text(self, begin):
-        """Return the line with its time counted from `begin`."""
+    def to_text(self, start_time):
+        """Return the line as text, with its time relative to `start_time`."""
         skipped = ("time", "event", "id")
         fields = [f"{k}={v}" for k, v in self.data.items() if k not in skipped]
-        return f"{self.time - begin:9.3f} s  {self.process}  {self.event}  " + (
+        return f"{self.time - start_time:9.3f} s  {self.process}  {self.event}  " + (
             " ".join(fields)
         )
 
 
 def read_lines(paths):
-    """Return (lines in order of time, number of others) of some files."""
-    found = []
-    others = 0
+    """Return (lines in order of time, number of other lines) of the given files."""
+    lines = []
+    other_count = 0
     for path in map(pathlib.Path, paths):
         for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
             line = _parse(text, path.stem)
             if line is None:
-                others += 1
+                other_count += 1
             else:
-                found.append(line)
-    return sorted(found, key=lambda line: line.time), others
+                lines.append(line)
+    return sorted(lines, key=lambda line: line.time), other_count
 
 
 def _parse(text, name):
@@ -93,48 +100,53 @@
     return Line(words[-1] if words else name, data)
 
 
-def find_related(lines, wanted):
-    """Return (lines of an id, lines of what its processes believed around them).
+def find_related(lines, wanted_id):
+    """Return (lines of an id, state changes of its processes around that time).
 
     Args:
         lines: All `Line` objects, in order of time.
-        wanted: Identifier of a request, an item or a job.
+        wanted_id: Identifier of a request, an item or a job.
     """
-    own = [line for line in lines if _is_named(wanted, line)]
-    if not own:
+    id_lines = [line for line in lines if _has_id(wanted_id, line)]
+    if not id_lines:
         return [], []
-    begin, end = own[0].time - BEFORE_S, own[-1].time + AFTER_S
-    processes = {line.process for line in own}
-    targets = {line.data.get("target") for line in own} - {None}
-    around = [
+    begin, end = (
+        id_lines[0].time - CONTEXT_BEFORE_S,
+        id_lines[-1].time + CONTEXT_AFTER_S,
+    )
+    processes = {line.process for line in id_lines}
+    targets = {line.data.get("target") for line in id_lines} - {None}
+    context_lines = [
         line
         for line in lines
         if begin <= line.time <= end
         and line.process in processes
         and "id" not in line.data
-        and (line.event.startswith(CONTEXT) or line.data.get("target") in targets)
+        and (
+            line.event.startswith(CONTEXT_EVENTS) or line.data.get("target") in targets
+        )
     ]
-    restart = find_restart(lines, own[-1])
+    restart = find_restart(lines, id_lines[-1])
     if restart is not None and restart.time > end:
-        around.append(restart)
-    return own, around
+        context_lines.append(restart)
+    return id_lines, context_lines
 
 
-def _is_named(wanted, line):
-    """Return whether a line is of an id; jobs stand with their workspace before it."""
+def _has_id(wanted_id, line):
+    """Return whether a line has this id, with or without a workspace prefix."""
     names = [str(line.data.get("id")), str(_get_job(line))]
-    return any(name == wanted or name.endswith(f":{wanted}") for name in names)
+    return any(name == wanted_id or name.endswith(f":{wanted_id}") for name in names)
 
 
 def find_restart(lines, last):
-    """Return the line with which a process started again soon after another, or None.
+    """Return the start of a process soon after its last line, or None.
 
     Args:
         lines: All `Line` objects, in order of time.
-        last: The `Line` after which it was started again.
+        last: The last `Line` before the restart.
     """
     for line in lines:
-        if line.time > last.time + RESTART_S:
+        if line.time > last.time + MAX_RESTART_S:
             return None
         if line.time > last.time and line.process == last.process:
             if line.event == "gateway.started":
@@ -146,35 +158,35 @@
     return line.data.get("job")
 
 
-def explain(own, around):
-    """Return in a sentence or two what became of a request, item or job, and why."""
-    if not own:
+def explain(id_lines, context_lines):
+    """Return the result of a request, item or job and its cause, in a few sentences."""
+    if not id_lines:
         return "No line names this id: it came to none of these processes."
-    last = own[-1]
-    if last.event in UNDER_WAY:
-        found = _explain_cut(last, around)
-    elif last.event in EXPLAINED_CALLERS:
-        found = _explain_caller(last)
+    last = id_lines[-1]
+    if last.event in IN_PROGRESS_EVENTS:
+        summary = _explain_cut(last, context_lines)
+    elif last.event in CALLER_EVENTS:
+        summary = _explain_caller(last)
     elif last.event == "caller.refused":
-        found = _explain_refused(last)
+        summary = _explain_refused(last)
     elif last.event.startswith("online."):
-        found = _explain_online(last)
+        summary = _explain_online(last)
     elif last.event.startswith("item."):
-        found = _explain_item(own)
+        summary = _explain_item(id_lines)
     else:
-        found = _explain_job(own)
-    return " ".join([found, *_explain_around(last, around)])
+        summary = _explain_job(id_lines)
+    return " ".join([summary, *_explain_context(last, context_lines)])
 
 
-def _explain_cut(last, around):
-    """Return what became of a request whose log ends while it was under way."""
+def _explain_cut(last, context_lines):
+    """Explain a request or item whose log ends while it was in progress."""
     data = last.data
     where = f"waited for a place of {data.get('service')}"
     if last.event.endswith(".sent"):
         where = f"was at target {data.get('target')}, so that it may have run"
     restarts = [
         line
-        for line in around
+        for line in context_lines
         if line.event == "gateway.started" and line.time > last.time
     ]
     if not restarts:
@@ -187,25 +199,25 @@
 
 
 def _explain_caller(line):
-    """Return why a request was refused for what its workspace is or has sent."""
+    """Explain why a request was refused because of its key or its workspace."""
     data = line.data
-    known = f"version {data.get('configuration')} of the configuration"
+    version_text = f"version {data.get('configuration')} of the configuration"
     age_s = data.get("age_s")
     if age_s is not None:
-        known += f", {age_s:.1f} s old"
+        version_text += f", {age_s:.1f} s old"
     reasons = {
         "key_missing": "It was refused with 401: it carried no key that can be read.",
         "key_unknown": (
-            f"It was refused with 401: no workspace has its key in {known}. The key "
-            "was taken away, or never given."
+            f"It was refused with 401: no workspace has its key in {version_text}. The "
+            "key was taken away, or never given."
         ),
         "key_unsure": (
             f"It was refused with 503 without having run: no workspace has its key in "
-            f"{known}, and the store did not say whether there is a newer one."
+            f"{version_text}, and the store did not say whether there is a newer one."
         ),
         "configuration_old": (
             f"It was refused with 503 without having run: gateway {line.process} knows "
-            f"{known}, and a key may have been taken away since."
+            f"{version_text}, and a key may have been taken away since."
         ),
         "rate_limit": (
             "It was refused with 429 without having run: workspace "
@@ -270,19 +282,19 @@
     )
 
 
-def _explain_item(own):
-    counts = collections.Counter(line.event for line in own)
-    processes = {line.process for line in own}
-    last = own[-1].data
+def _explain_item(id_lines):
+    counts = collections.Counter(line.event for line in id_lines)
+    processes = {line.process for line in id_lines}
+    last = id_lines[-1].data
     ends = {
         "item.given_up": f"It was given up ({last.get('outcome')}).",
         "item.delayed": f"Its text could not be recorded: {last.get('why')}",
     }
-    end = ends.get(own[-1].event)
+    end = ends.get(id_lines[-1].event)
     if end is None and last.get("outcome") == "answered":
         end = f"Its last run was whole, at target {last.get('target')}."
     if end is None:
-        end = f"Its last run broke off ({last.get('outcome', own[-1].event)})."
+        end = f"Its last run broke off ({last.get('outcome', id_lines[-1].event)})."
     runs = counts["item.ran"] + counts["item.preempted"]
     return (
         f"{end} It ran {runs} times at {len(processes)} gateways, and gave its place "
@@ -290,54 +302,56 @@
     )
 
 
-def _explain_job(own):
-    first = next((line for line in own if line.event.startswith("batch.")), own[0])
-    items = {line.data["id"] for line in own if line.event.startswith("item.")}
-    last = own[-1]
+def _explain_job(id_lines):
+    first = next(
+        (line for line in id_lines if line.event.startswith("batch.")), id_lines[0]
+    )
+    items = {line.data["id"] for line in id_lines if line.event.startswith("item.")}
+    last = id_lines[-1]
     return (
         f"The job got {first.event} ({first.data.get('outcome', '')}); lines of "
         f"{len(items)} items follow, the last one {last.event}."
     )
 
 
-def _explain_around(last, around):
-    counts = collections.Counter(line.event for line in around)
-    found = []
-    started = [line for line in around if line.event == "gateway.started"]
+def _explain_context(last, context_lines):
+    counts = collections.Counter(line.event for line in context_lines)
+    sentences = []
+    started = [line for line in context_lines if line.event == "gateway.started"]
     if started and started[-1].time <= last.time:
         ago_s = last.time - started[-1].time
-        found.append(f"The gateway had been started {ago_s:.3f} s before.")
+        sentences.append(f"The gateway had been started {ago_s:.3f} s before.")
     if counts["feed.lost"]:
-        found.append("The store could not be read then.")
+        sentences.append("The store could not be read then.")
     if counts["ledger.delayed"]:
-        found.append("The store took no appends then.")
+        sentences.append("The store took no appends then.")
     if counts["ownership.changed"]:
-        found.append("The parts of the batch work were dealt anew.")
-    paused = [line for line in around if line.event == "target.paused"]
+        sentences.append("The parts of the batch work were dealt anew.")
+    paused = [line for line in context_lines if line.event == "target.paused"]
     if paused:
         why = paused[-1].data.get("why")
-        found.append(f"Its target rested after {why}.")
+        sentences.append(f"Its target rested after {why}.")
     if counts["target.gone"]:
-        found.append("Its target was gone from the list.")
+        sentences.append("Its target was gone from the list.")
     if counts["gateway.draining"]:
-        found.append("The gateway was told to stop.")
-    return found
+        sentences.append("The gateway was told to stop.")
+    return sentences
 
 
-def summarise(lines, others=0):
-    """Return a day's lines in a few rows: what ended how, and what was lost.
+def summarise(lines, other_count=0):
+    """Return a summary as rows of text: outcomes, latencies and missed deadlines.
 
     Args:
         lines: All `Line` objects, in order of time.
-        others: Number of lines that were no decisions.
+        other_count: Number of lines without a decision.
     """
     if not lines:
         return ["no decisions"]
-    begin = lines[0].time
+    start_time = lines[0].time
     online = [line for line in lines if line.event == "online.ended"]
     rows = [
         f"{len(lines)} decisions of {len({line.process for line in lines})} processes "
-        f"in {lines[-1].time - begin:.1f} s, {others} other lines",
+        f"in {lines[-1].time - start_time:.1f} s, {other_count} other lines",
         "online requests by outcome: " + _count(online, "outcome"),
         "  by status: " + _count(online, "status"),
     ]
@@ -348,13 +362,13 @@
     ):
         rows.append(f"  {name}: " + _rank([kept(line.data) for line in online]))
     slowest = sorted(online, key=lambda line: -(line.data.get("first_s") or 0.0))
-    for line in slowest[:SLOWEST]:
+    for line in slowest[:SLOWEST_COUNT]:
         rows.append(
             f"  slow: id {line.data['id']} first event {line.data.get('first_s')} s, "
             f"waited {line.data.get('waited_s')} s, target {line.data.get('target')}"
         )
     items = [line for line in lines if line.event.startswith("item.")]
-    rows.extend(loss.to_rows(loss.list_losses(lines)))
+    rows.extend(loss.format_misses(loss.count_misses(lines)))
     rows.append("items by event: " + _count(items, "event"))
     runs = [line for line in items if line.event == "item.ran"]
     rows.append("  runs by outcome: " + _count(runs, "outcome"))
@@ -364,18 +378,20 @@
     rows.append("beliefs by event: " + _count(beliefs, "event"))
     for line in beliefs:
         if line.event in ("feed.regained", "log.dropped"):
-            rows.append("  " + line.to_text(begin).strip())
+            rows.append("  " + line.to_text(start_time).strip())
     return rows
 
 
 def _count(lines, field):
     counts = collections.Counter(str(line.data.get(field)) for line in lines)
-    return ", ".join(f"{k} {n}" for k, n in counts.most_common(COMMON)) or "none"
+    return ", ".join(f"{k} {n}" for k, n in counts.most_common(TOP_COUNT)) or "none"
 
 
 def _rank(values):
-    found = sorted(value for value in values if value is not None)
-    if not found:
+    ordered = sorted(value for value in values if value is not None)
+    if not ordered:
         return "none"
-    ranks = ((share, found[int(share * (len(found) - 1))]) for share in (0.5, 0.95, 1))
+    ranks = (
+        (share, ordered[int(share * (len(ordered) - 1))]) for share in (0.5, 0.95, 1)
+    )
     return ", ".join(f"{share:.0%} within {value:.3f} s" for share, value in ranks)
--- a/pimentowick/gateway/job.py
+++ b/pimentowick/gateway/job.py
@@ -1,15 +1,15 @@
-"""Batch jobs as the entries keep them: the fold of two partitions of records.
+"""Table of batch jobs, materialized from two partitions of the store.
 
 Notes:
-    One partition says which jobs were accepted, the other what became of them: a record
-    for each result, failure and end. Both are small, since every entry reads all of
-    them; bodies and texts lie elsewhere (see `pimentowick.gateway.content`) and are
-    read where they are needed.
-
-    The store keeps the newest record of each key for good. An outcome is written under
-    a key that no other record has, so that a second result of an item stands behind the
-    first and changes nothing. The position of a result is its rank by offset, so all
-    entries agree on it, also one that reads the newest records only.
+    One partition holds the accepted jobs, the other their outcomes: a record for each
+    result, failure and cancellation. Every entry reads both, so they are kept small;
+    item bodies and texts are stored elsewhere (see `pimentowick.gateway.content`) and
+    read on demand.
+
+    The store keeps the newest record of each key. Outcome records have unique keys, so
+    that a duplicate result of an item follows the first one and is ignored. Results are
+    ordered by offset, so that all entries agree on their positions, including entries
+    that start from a snapshot.
 """
 
 import dataclasses
@@ -27,10 +27,10 @@
     """One item as submitted.
 
     Attributes:
-        id: Identifier within all jobs.
-        path: Path at the target.
-        headers: Headers for the target.
-        tokens: Tokens of the prompt and most tokens of the answer.
+        id: Identifier, unique among all jobs.
+        path: Request path at the target.
+        headers: Request headers for the target.
+        tokens: Prompt tokens plus the maximum number of output tokens.
         body: The `content.Reference` of its body.
     """
 
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """A listed result.
+    """The result of an item.
 
     Attributes:
         id: Identifier of the item.
-        done: Whether it ran to its end.
-        text: The `content.Reference` of its text, or None if it has none.
+        done: Whether the item completed.
+        text: The `content.Reference` of its text, or None if the item did not complete.
     """
 
     id: str
@@ -58,18 +58,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of a job so far.
+    """The outcome records of a job.
 
     Attributes:
-        rows: Number, whether done, and text of each result, in order of position.
-        failures: Names of the failed runs, by number of the item.
-        ended: Whether a caller ended it.
-        keys: Keys of all its records.
+        rows: Tuples (item number, done, text) in order of position.
+        failures: Sets of identifiers of failed runs, by item number.
+        is_cancelled: Whether a caller has cancelled the job.
+        keys: Keys of all outcome records.
     """
 
     rows: list = dataclasses.field(default_factory=list)
     failures: dict = dataclasses.field(default_factory=dict)
-    ended: bool = False
+    is_cancelled: bool = False
     keys: list = dataclasses.field(default_factory=list)
     _listed: set = dataclasses.field(default_factory=set)
 
@@ -77,12 +77,12 @@
         """Return whether an item has a result."""
         return number in self._listed
 
-    def take(self, key, kind, tail, value):
-        """Take one record."""
+    def apply(self, key, kind, tail, value):
+        """Apply one record."""
         self.keys.append(key)
         number, _, name = tail.partition("/")
         if kind == "e":
-            self.ended = True
+            self.is_cancelled = True
         elif kind == "f":
             self.failures.setdefault(int(number), set()).add(name)
         elif kind == "i" and int(number) not in self._listed:
@@ -97,15 +97,15 @@
     """One accepted batch job.
 
     Attributes:
-        id: Name among all jobs (see `pimentowick.gateway.workspace`).
-        host: Host header of the submission; only callers there may read it.
+        id: Identifier among all jobs (see `pimentowick.gateway.workspace`).
+        host: Host header of the submission; reads must carry the same one.
         path: Path of the submission.
-        submitted_s: Unix time of the acceptance.
+        submitted_s: Unix time of acceptance.
         items: The `Item` objects by number.
         outcome: The `Outcome`.
-        workspace: Name of the workspace that it belongs to, or None without one.
-        learnt_at: Monotonic time at which it came as a new record, minus infinity if
-            it was there before.
+        workspace: Name of the workspace that owns the job, or None.
+        received_at: Monotonic time at which the record was received, or minus infinity
+            if it was part of a snapshot.
     """
 
     id: str
@@ -114,13 +114,13 @@
     submitted_s: float
     items: list
     outcome: Outcome = dataclasses.field(default_factory=Outcome)
-    learnt_at: float = float("-inf")
+    received_at: float = float("-inf")
     workspace: str | None = None
 
     @property
-    def ended(self):
-        """Whether a caller ended it."""
-        return self.outcome.ended
+    def is_cancelled(self):
+        """Whether a caller has cancelled the job."""
+        return self.outcome.is_cancelled
 
     @property
     def results(self):
@@ -128,7 +128,7 @@
         return self.list_results(0)
 
     def list_results(self, after):
-        """Return the results from a position on."""
+        """Return the results from position `after` on."""
         return [
             Result(self.items[number].id, done, text)
             for number, done, text in self.outcome.rows[after:]
@@ -136,20 +136,20 @@
 
     @property
     def is_open(self):
-        """Whether items may still run."""
-        return not self.ended and len(self.outcome.rows) < len(self.items)
+        """Whether the job has items that may still run."""
+        return not self.is_cancelled and len(self.outcome.rows) < len(self.items)
 
     def needs_run(self, number):
-        """Return whether an item still has to run."""
-        return not self.ended and not self.outcome.is_listed(number)
+        """Return whether an item has no result and may still run."""
+        return not self.is_cancelled and not self.outcome.is_listed(number)
 
     def count_failures(self, number):
-        """Return how many runs of an item have failed."""
+        """Return the number of failed runs of an item."""
         return len(self.outcome.failures.get(number, ()))
 
     def count_waiting_tokens(self):
-        """Return the tokens of the items without a result."""
-        if self.ended:
+        """Return the total tokens of the items without a result."""
+        if self.is_cancelled:
             return 0
         return sum(
             item.tokens
@@ -159,15 +159,15 @@
 
 
 class JobTable:
-    """All jobs.
+    """All jobs that the store holds.
 
-    Records may be given twice, and in the order of their offsets only. Those of the two
-    partitions come in any order: an outcome may come before its job.
+    Records must be applied in order of offset within a partition; duplicates are
+    ignored. The two partitions are independent: an outcome may precede its job.
 
     Attributes:
         jobs: The `Job` objects by identifier.
-        open_jobs: Those with items that may still run.
-        version: Number of records taken, for readers that wait for a change.
+        open_jobs: The jobs with items that may still run, by identifier.
+        version: Number of applied records, for detecting changes.
     """
 
     def __init__(self):
@@ -177,27 +177,29 @@
         self._outcomes = {}
 
     def reset_jobs(self, records):
-        """Take the newest records of the accepted jobs in place of what was known."""
-        found = {record.key for record in records if record.value}
-        for job_id in [job_id for job_id in self.jobs if f"j/{job_id}" not in found]:
+        """Replace the accepted jobs by a snapshot of the newest records."""
+        live_keys = {record.key for record in records if record.value}
+        for job_id in [
+            job_id for job_id in self.jobs if f"j/{job_id}" not in live_keys
+        ]:
             self._drop(job_id)
         for record in records:
-            self._take_job(record.key, record.value, float("-inf"))
+            self._apply_job(record.key, record.value, float("-inf"))
 
     def reset_outcomes(self, records):
-        """Take the newest records of outcomes in place of what was known."""
+        """Replace the outcomes by a snapshot of the newest records."""
         self._outcomes = {}
         for record in records:
             self.apply_outcome(record.key, record.value)
-        for found in self.jobs.values():
-            found.outcome = self._outcomes.setdefault(found.id, Outcome())
-            self._note_open(found)
+        for job in self.jobs.values():
+            job.outcome = self._outcomes.setdefault(job.id, Outcome())
+            self._update_open(job)
 
     def apply_job(self, key, value):
-        """Take one new record of an accepted job; an empty value drops it."""
-        self._take_job(key, value, time.monotonic())
+        """Apply one record of an accepted job; an empty value deletes the job."""
+        self._apply_job(key, value, time.monotonic())
 
-    def _take_job(self, key, value, learnt_at):
+    def _apply_job(self, key, value, received_at):
         self.version += 1
         kind, _, job_id = key.partition("/")
         if kind != "j":
@@ -205,51 +207,51 @@
         if not value:
             self._drop(job_id)
         elif job_id not in self.jobs:
-            self._add(job_id, orjson.loads(value), learnt_at)
+            self._add(job_id, orjson.loads(value), received_at)
 
     def apply_outcome(self, key, value):
-        """Take one record of what became of a job; an empty value drops it."""
+        """Apply one outcome record; an empty value is a tombstone."""
         self.version += 1
         kind, _, rest = key.partition("/")
         job_id, _, tail = rest.partition("/")
         if not value:
-            # Dropped with its job, which is not read any more.
+            # Outcome records are deleted after their job.
             if job_id not in self.jobs:
                 self._outcomes.pop(job_id, None)
             return
-        self._outcomes.setdefault(job_id, Outcome()).take(key, kind, tail, value)
+        self._outcomes.setdefault(job_id, Outcome()).apply(key, kind, tail, value)
         if job_id in self.jobs:
-            self._note_open(self.jobs[job_id])
+            self._update_open(self.jobs[job_id])
 
-    def _add(self, job_id, data, learnt_at):
+    def _add(self, job_id, data, received_at):
         outcome = self._outcomes.setdefault(job_id, Outcome())
         items = [_make_item(row) for row in data["items"]]
-        found = Job(
+        job = Job(
             job_id,
             data["host"],
             data["path"],
             data["submitted_s"],
             items,
             outcome,
-            learnt_at,
+            received_at,
             data.get("workspace"),
         )
-        self.jobs[job_id] = found
-        self._note_open(found)
+        self.jobs[job_id] = job
+        self._update_open(job)
 
     def _drop(self, job_id):
         self.jobs.pop(job_id, None)
         self.open_jobs.pop(job_id, None)
         self._outcomes.pop(job_id, None)
 
-    def _note_open(self, found):
-        if found.is_open:
-            self.open_jobs[found.id] = found
+    def _update_open(self, job):
+        if job.is_open:
+            self.open_jobs[job.id] = job
         else:
-            self.open_jobs.pop(found.id, None)
+            self.open_jobs.pop(job.id, None)
 
     def count_waiting_tokens(self, path_prefix, host, workspace=None):
-        """Return the tokens of a workspace that wait on a route."""
+        """Return the tokens of a workspace's unfinished items on a route."""
         return sum(
             job.count_waiting_tokens()
             for job in self.open_jobs.values()
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -1,4 +1,4 @@
-"""What callers do with batch jobs: submit, read, end."""
+"""HTTP interface of batch jobs: submit, read, cancel."""
 
 import time
 import uuid
@@ -11,39 +11,38 @@
 
 __all__ = ["JobApi"]
 
-# A caller waits some seconds for the acceptance; past this it comes again.
+# Callers time out soon after this and retry.
 SUBMIT_TIMEOUT_S = 3.0
-END_TIMEOUT_S = 3.5
-# A view older than this may miss what another entry has told a caller.
-FRESH_S = 0.6
-LONGEST_WAIT_S = 1.0
-READ_BYTES = 900_000
-RETRY_S = 0.3
-# Other entries can take the call now: a new attempt reaches another one.
-ELSEWHERE_S = 0.02
-FULL_RETRY_S = 1.0
+CANCEL_TIMEOUT_S = 3.5
+# Older state may lack changes that another entry has acknowledged to a caller.
+MAX_STALENESS_S = 0.6
+MAX_LONG_POLL_S = 1.0
+MAX_RESULTS_BYTES = 900_000
+RETRY_AFTER_S = 0.3
+# A retry is likely to reach another entry, which can serve it at once.
+OTHER_ENTRY_RETRY_AFTER_S = 0.02
+QUOTA_RETRY_AFTER_S = 1.0
 
 
 class JobApi:
-    """Answers the calls about batch jobs.
+    """Handles the requests of callers about batch jobs.
 
     Args:
         storage: `pimentowick.gateway.job_storage.JobStorage`.
-        is_cut_off: Function that returns whether other entries reach the store while
-            this one does not.
+        is_cut_off: Function that tells whether this entry alone has lost the store.
     """
 
     def __init__(self, storage, is_cut_off):
         self._storage = storage
         self._is_cut_off = is_cut_off
 
-    async def submit(self, exchange, found, call, caller):
-        """Accept a job, or refuse it.
+    async def submit(self, exchange, route, call, caller):
+        """Accept or refuse a job.
 
         Args:
             exchange: The `pimentowick.gateway.exchange.Exchange`.
-            found: The `pimentowick.gateway.route.Route`.
-            call: The `message.Call` of its headers.
+            route: The `pimentowick.gateway.route.Route`.
+            call: The `message.Call` decoded from the headers.
             caller: The `pimentowick.gateway.workspace.Workspace`, or None without one.
         """
         owner = None if caller is None else caller.name
@@ -54,69 +53,75 @@
         try:
             items, bodies = message.decode_submission(exchange.body)
         except exception.ValidationError as error:
-            _note("batch.refused", job_id, "invalid", why=str(error))
+            _log_decision("batch.refused", job_id, "invalid", why=str(error))
             await exchange.refuse(verdict.Refusal(400, "bad_request", str(error)))
             return
         tokens = sum(item.tokens for item in items)
         try:
-            await self._accept(exchange, found, job_id, owner, items, bodies)
+            await self._accept(exchange, route, job_id, owner, items, bodies)
         except exception.RefusedError as error:
-            _note("batch.refused", job_id, error.refusal.code, tokens=tokens)
+            _log_decision("batch.refused", job_id, error.refusal.code, tokens=tokens)
             await exchange.refuse(error.refusal)
             return
-        except ledger.UnsettledError:
-            _note("batch.unsettled", job_id, "no_answer_from_store", tokens=tokens)
-            await exchange.refuse(_make_unsettled())
+        except ledger.InDoubtError:
+            _log_decision(
+                "batch.unsettled", job_id, "no_answer_from_store", tokens=tokens
+            )
+            await exchange.refuse(_make_in_doubt())
             return
         except exception.LogError as error:
-            _note("batch.refused", job_id, "store_away", why=str(error))
-            await exchange.refuse(_make_unsure())
+            _log_decision("batch.refused", job_id, "store_away", why=str(error))
+            await exchange.refuse(_make_unavailable())
             return
-        _note("batch.accepted", job_id, "accepted", items=len(items), tokens=tokens)
+        _log_decision(
+            "batch.accepted", job_id, "accepted", items=len(items), tokens=tokens
+        )
         await exchange.answer(202, httputil.HTTPHeaders())
 
-    async def _accept(self, exchange, found, job_id, owner, items, bodies):
-        """Record a job, its bodies first.
+    async def _accept(self, exchange, route, job_id, owner, items, bodies):
+        """Write the bodies of a job, then its record.
 
         Raises:
-            RefusedError: It doesn't fit.
-            LogError: It is not known to be recorded.
+            RefusedError: The job exceeds the quota.
+            LogError: The job may not be recorded.
         """
         ends_at = time.monotonic() + SUBMIT_TIMEOUT_S
         storage = self._storage
-        # What waits counts for the quota.
+        # The quota check needs the unfinished items of all jobs.
         await storage.load(SUBMIT_TIMEOUT_S)
         if job_id in storage.job_table.jobs:
             return
         tokens = sum(item.tokens for item in items)
-        self._check_room(found, exchange.host, owner, tokens)
+        self._check_quota(route, exchange.host, owner, tokens)
         writer = uuid.uuid4().hex
-        named = {record.name_body(n, writer): body for n, body in enumerate(bodies)}
+        contents_by_name = {
+            record.name_body(n, writer): body for n, body in enumerate(bodies)
+        }
         references = await storage.contents.put(
-            job_id, named, ends_at - time.monotonic()
+            job_id, contents_by_name, ends_at - time.monotonic()
         )
-        for name, item in zip(named, items, strict=True):
+        for name, item in zip(contents_by_name, items, strict=True):
             item.body = references[name]
-        made = record.make_job(
+        job_record = record.make_job(
             job_id, exchange.host, exchange.path, time.time(), items, owner
         )
 
         def build(view):
             if job_id in view.jobs:
                 return []
-            self._check_room(found, exchange.host, owner, tokens)
-            return [made]
+            self._check_quota(route, exchange.host, owner, tokens)
+            return [job_record]
 
         try:
             await storage.accepted.commit(
-                build, ends_at - time.monotonic(), limited=True
+                build, ends_at - time.monotonic(), exclusive=True
             )
-        except (exception.RefusedError, ledger.NotWrittenError):
-            await self._drop_bodies(job_id, references.values())
+        except (exception.RefusedError, ledger.NotCommittedError):
+            await self._delete_bodies(job_id, references.values())
             raise
 
-    async def _drop_bodies(self, job_id, references):
-        """Drop the bodies of a job that was refused after they were written."""
+    async def _delete_bodies(self, job_id, references):
+        """Delete the bodies of a job that was refused after they were written."""
         if job_id in self._storage.job_table.jobs:
             return
         try:
@@ -125,41 +130,41 @@
             decision.note_request("batch.bodies_kept", job_id, why=str(error))
 
     async def _refuse_cut_off(self, exchange, job_id):
-        """Send a caller on to an entry that reaches the store, before its time is up.
+        """Refuse a call at once, so that the caller retries at another entry.
 
-        Held until this entry has tried, a job would be accepted seconds later than at
-        another one. While the store is away for all it is held: no other can take it.
+        Only an entry that alone has lost the store does this. In an outage that affects
+        all entries, calls are held, since no other entry could serve them.
         """
-        _note("batch.refused", job_id, "cut_off")
-        await exchange.refuse(_make_unsure(ELSEWHERE_S))
+        _log_decision("batch.refused", job_id, "cut_off")
+        await exchange.refuse(_make_unavailable(OTHER_ENTRY_RETRY_AFTER_S))
 
-    def _check_room(self, found, host, owner, tokens):
-        """Refuse a job whose tokens do not fit beside those that wait."""
-        if not found.max_waiting_tokens:
+    def _check_quota(self, route, host, owner, tokens):
+        """Raise `RefusedError` if a job exceeds the token quota of its route."""
+        if not route.max_waiting_tokens:
             return
         waiting = self._storage.job_table.count_waiting_tokens(
-            found.path_prefix, host, owner
+            route.path_prefix, host, owner
         )
-        if waiting + tokens > found.max_waiting_tokens:
+        if waiting + tokens > route.max_waiting_tokens:
             refusal = verdict.Refusal(
                 429,
                 "quota",
                 f"{waiting} tokens wait on this route.",
-                retry_after=FULL_RETRY_S,
+                retry_after=QUOTA_RETRY_AFTER_S,
             )
             raise exception.RefusedError(refusal)
 
     async def read_results(self, exchange, job_id, call):
-        """Answer with results from a position on."""
+        """Answer with the results from a position on, with long polling."""
         after = _read_position(exchange.query.get("after", "0"))
-        ends_at = time.monotonic() + min(call.wait_s, LONGEST_WAIT_S)
+        ends_at = time.monotonic() + min(call.wait_s, MAX_LONG_POLL_S)
         while True:
-            found = await self._find(job_id, exchange.host, after)
+            job = await self._find(job_id, exchange.host, after)
             left_s = ends_at - time.monotonic()
-            if len(found.results) > after or not found.is_open or left_s <= 0:
+            if len(job.results) > after or not job.is_open or left_s <= 0:
                 break
-            await self._storage.outcomes.feed.wait_changed(left_s)
-        rows = _take_rows(found.list_results(after))
+            await self._storage.outcomes.feed.wait_for_change(left_s)
+        rows = _select_page(job.list_results(after))
         texts = await self._read_contents(
             job_id, [row.text for row in rows if row.text is not None]
         )
@@ -172,97 +177,103 @@
             for row in rows
         ]
         await exchange.answer_json(
-            message.encode_results(len(found.items), after, listed)
+            message.encode_results(len(job.items), after, listed)
         )
 
     async def _read_contents(self, job_id, references):
         """Return contents of a job, bytes by name.
 
         Raises:
-            RefusedError: They can't be read now.
+            RefusedError: The store cannot be read.
         """
         contents = self._storage.contents
-        if self._is_cut_off() and not contents.has(job_id, references):
-            _note("batch.unsure", job_id, "cut_off", contents=len(references))
-            raise exception.RefusedError(_make_unsure(ELSEWHERE_S))
+        if self._is_cut_off() and not contents.has_cached(job_id, references):
+            _log_decision("batch.unsure", job_id, "cut_off", contents=len(references))
+            raise exception.RefusedError(_make_unavailable(OTHER_ENTRY_RETRY_AFTER_S))
         try:
             return await contents.read(job_id, references)
         except exception.LogError as error:
-            _note("batch.unsure", job_id, "contents_away", why=str(error))
-            raise exception.RefusedError(_make_unsure()) from error
+            _log_decision("batch.unsure", job_id, "contents_away", why=str(error))
+            raise exception.RefusedError(_make_unavailable()) from error
 
     async def read_body(self, exchange, job_id):
-        """Answer with the body of an item that is not listed."""
-        found = await self._find(job_id, exchange.host)
-        wanted = exchange.query.get("id", "")
-        for number, item in enumerate(found.items):
-            if item.id == wanted and not found.outcome.is_listed(number):
-                named = await self._read_contents(job_id, [item.body])
+        """Answer with the body of an item that has no result yet."""
+        job = await self._find(job_id, exchange.host)
+        item_id = exchange.query.get("id", "")
+        for number, item in enumerate(job.items):
+            if item.id == item_id and not job.outcome.is_listed(number):
+                contents_by_name = await self._read_contents(job_id, [item.body])
                 headers = httputil.HTTPHeaders(
                     {"Content-Type": "application/octet-stream"}
                 )
-                await exchange.answer(200, headers, named[item.body.name])
+                await exchange.answer(200, headers, contents_by_name[item.body.name])
                 return
-        raise _refuse_unknown()
+        raise _make_unknown_error()
 
     async def cancel(self, exchange, job_id):
-        """End a job."""
+        """Cancel a job."""
         if self._is_cut_off():
             await self._refuse_cut_off(exchange, job_id)
             return
         await self._find(job_id, exchange.host)
 
         def build():
-            found = self._storage.job_table.jobs.get(job_id)
-            if found is None or found.ended:
+            job = self._storage.job_table.jobs.get(job_id)
+            if job is None or job.is_cancelled:
                 return []
-            return [record.make_end(job_id)]
+            return [record.make_cancellation(job_id)]
 
         try:
-            await self._storage.outcomes.put(build, END_TIMEOUT_S)
+            await self._storage.outcomes.put(build, CANCEL_TIMEOUT_S)
         except exception.LogError as error:
-            _note("batch.end_failed", job_id, "store_away", why=str(error))
-            await exchange.refuse(_make_unsettled())
+            _log_decision("batch.end_failed", job_id, "store_away", why=str(error))
+            await exchange.refuse(_make_in_doubt())
             return
-        _note("batch.ended", job_id, "ended")
+        _log_decision("batch.ended", job_id, "ended")
         await exchange.answer_json({})
 
     async def _find(self, job_id, host, after=None):
-        """Return a job; what is missing here is looked for in the store first.
+        """Return a job; refresh from the store first if the local state may be stale.
 
         Raises:
-            RefusedError: There is no such job, or that is not sure.
+            RefusedError: The job does not exist, or the store cannot be read.
         """
         storage = self._storage
-        found = storage.job_table.jobs.get(job_id)
-        known = found is not None and storage.is_loaded
-        known = known and (after is None or len(found.results) > after)
-        is_fresh = storage.get_age() < FRESH_S
-        if not known and not (found is not None and is_fresh):
+        job = storage.job_table.jobs.get(job_id)
+        is_current = job is not None and storage.is_loaded
+        is_current = is_current and (after is None or len(job.results) > after)
+        is_fresh = storage.get_staleness_s() < MAX_STALENESS_S
+        if not is_current and not (job is not None and is_fresh):
             if self._is_cut_off():
-                _note("batch.unsure", job_id, "cut_off", age_s=storage.get_age())
-                raise exception.RefusedError(_make_unsure(ELSEWHERE_S))
+                _log_decision(
+                    "batch.unsure", job_id, "cut_off", age_s=storage.get_staleness_s()
+                )
+                raise exception.RefusedError(
+                    _make_unavailable(OTHER_ENTRY_RETRY_AFTER_S)
+                )
             try:
                 await storage.refresh()
             except exception.LogError as error:
-                _note("batch.unsure", job_id, "store_away", why=str(error))
-                raise exception.RefusedError(_make_unsure()) from error
-            found = storage.job_table.jobs.get(job_id)
-        if found is None or found.host != host:
-            _note("batch.unknown", job_id, "not_found", age_s=storage.get_age())
-            raise _refuse_unknown()
-        return found
+                _log_decision("batch.unsure", job_id, "store_away", why=str(error))
+                raise exception.RefusedError(_make_unavailable()) from error
+            job = storage.job_table.jobs.get(job_id)
+        if job is None or job.host != host:
+            _log_decision(
+                "batch.unknown", job_id, "not_found", age_s=storage.get_staleness_s()
+            )
+            raise _make_unknown_error()
+        return job
 
 
-def _take_rows(results):
-    """Return as many results as one answer holds, one at least."""
+def _select_page(results):
+    """Return the results that fit into one response, at least one."""
     rows = []
     size = 0
-    for entry in results:
-        size += 0 if entry.text is None else entry.text.size
-        if rows and size > READ_BYTES:
+    for result in results:
+        size += 0 if result.text is None else result.text.size
+        if rows and size > MAX_RESULTS_BYTES:
             break
-        rows.append(entry)
+        rows.append(result)
     return rows
 
 
@@ -275,13 +286,13 @@
         ) from None
 
 
-def _refuse_unknown():
+def _make_unknown_error():
     return exception.RefusedError(
         verdict.Refusal(404, "unknown_job", "There is no such job or item.")
     )
 
 
-def _make_unsure(retry_after=RETRY_S):
+def _make_unavailable(retry_after=RETRY_AFTER_S):
     return verdict.Refusal(
         503,
         "log_unavailable",
@@ -290,15 +301,15 @@
     )
 
 
-def _make_unsettled():
+def _make_in_doubt():
     return verdict.Refusal(
         504,
         "unsettled",
         "The store has not answered; the change may take effect. Come again.",
         verdict.Verdict.MAY_HAVE_RUN,
-        RETRY_S,
+        RETRY_AFTER_S,
     )
 
 
-def _note(name, job_id, outcome, **fields):
+def _log_decision(name, job_id, outcome, **fields):
     decision.note_request(name, job_id, outcome=outcome, **fields)
--- a/pimentowick/gateway/job_storage.py
+++ b/pimentowick/gateway/job_storage.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of all jobs, and how it reads and writes the rest."""
+"""Storage of batch jobs: local tables, and contents in the store."""
 
 import asyncio
 import time
@@ -15,13 +15,13 @@
     Args:
         store: `pimentowick.platform.store.Store`.
         jobs_topic: Name of the keyed topic of accepted jobs.
-        outcomes_topic: Name of the keyed topic of what became of them.
-        pause_s: Pause between reads that found records, in seconds.
-        wait_s: How long the store may hold a read, in seconds.
+        outcomes_topic: Name of the keyed topic of job outcomes.
+        pause_s: Pause after a read that returned records, in seconds.
+        wait_s: Maximum duration of a long poll, in seconds.
         settings: `pimentowick.platform.node.NodeSettings`.
 
     Attributes:
-        job_table: The folded `job.JobTable`.
+        job_table: The `job.JobTable`.
         accepted: The `ledger.Ledger`.
         outcomes: The `outcome_log.OutcomeLog`.
         contents: The `content.Contents`.
@@ -41,49 +41,55 @@
 
     @property
     def feeds(self):
-        """The feeds of both partitions."""
+        """The feeds of the accepted jobs and of their outcomes."""
         return self.accepted.feed, self.outcomes.feed
 
     @property
     def is_loaded(self):
-        """Whether both partitions were read to their ends once."""
-        return all(found.end is not None for found in self.feeds)
+        """Whether both partitions have been read to their ends at least once."""
+        return all(partition_feed.end is not None for partition_feed in self.feeds)
 
     async def load(self, timeout_s):
-        """Wait until both partitions were read to their ends once.
+        """Wait until both partitions have been read to their ends at least once.
 
         Raises:
-            LogError: Time is up before.
+            LogError: The timeout expired.
         """
         ends_at = time.monotonic() + timeout_s
-        for found in self.feeds:
-            while found.end is None:
+        for partition_feed in self.feeds:
+            while partition_feed.end is None:
                 left_s = ends_at - time.monotonic()
                 if left_s <= 0:
-                    raise exception.LogError("The jobs are not read yet.")
-                await found.wait_changed(left_s)
+                    raise exception.LogError(
+                        f"Jobs not loaded from the store within {timeout_s} s."
+                    )
+                await partition_feed.wait_for_change(left_s)
 
     async def refresh(self):
-        """Read both partitions up to their present ends.
+        """Read both partitions to their current ends.
 
         Raises:
-            LogError: The store gave no answer, or an end was not reached.
+            LogError: The store did not answer, or an end was not reached.
         """
-        await asyncio.gather(*(found.refresh() for found in self.feeds))
+        await asyncio.gather(
+            *(partition_feed.refresh() for partition_feed in self.feeds)
+        )
 
     async def remove(self, job):
-        """Drop all of a job that is closed, and that nobody may read any more.
+        """Delete a closed job.
 
-        Its contents go first: without the job, nobody would know of them. Its outcome
-        goes last, since without that it would run again.
+        Contents are deleted first, since they cannot be found without the job. Outcomes
+        are deleted last, since a job without them would run again.
 
         Raises:
-            LogError: Something of it may be left.
+            LogError: The job may be deleted only in part.
         """
         await self.contents.drop_all(job.id)
         await self.accepted.drop(job.id)
         await self.outcomes.drop(list(job.outcome.keys))
 
-    def get_age(self):
-        """Return how many seconds ago the jobs were known to be complete."""
-        return time.monotonic() - min(found.fresh_at for found in self.feeds)
+    def get_staleness_s(self):
+        """Return the age of the local state, in seconds."""
+        return time.monotonic() - min(
+            partition_feed.fresh_at for partition_feed in self.feeds
+        )
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -1,16 +1,16 @@
-"""Accepting jobs: read to the end of their partition, append there.
+"""Log of accepted jobs, appended to with optimistic concurrency control.
 
 Notes:
-    Optimistic concurrency: a change is built from the folded state and appended on
-    condition that the partition still ends where the state does. If it does not,
-    the state is read on and the change built anew; a change whose effect is there
-    already builds no record.
+    A change builds its records from the state at the end of the partition. They are
+    appended on condition that the partition still ends there. If the condition fails,
+    newer records are applied and the change is built again; a change that is already
+    applied builds no records.
 
-    An append without an answer may take effect seconds later, if its condition still
-    holds. The next append under the same condition settles it: one of the two fails.
+    An append that is not acknowledged may still take effect while its condition holds.
+    A second append with the same condition resolves this: at most one succeeds.
 
-    All jobs are accepted in one partition, so that a limit over what waits is kept by
-    one condition, whichever entries take large jobs at the same moment.
+    All accepted jobs share one partition, so that concurrent submissions at different
+    entries cannot exceed the quota.
 """
 
 import asyncio
@@ -21,59 +21,60 @@
 from pimentowick.gateway import decision, feed, record
 from pimentowick.platform import store as platform_store
 
-__all__ = ["Ledger", "NotWrittenError", "UnsettledError"]
+__all__ = ["InDoubtError", "Ledger", "NotCommittedError"]
 
-FIRST_DELAY_S = 0.05
-LAST_DELAY_S = 0.8
-# An append that has no answer by then may have lost it: what it did is looked up.
-LATE_S = 0.12
-# Appends with the same records under way at once.
-MOST_APPENDS = 3
-LOOK_S = 0.3
-# How long a change whose time is up waits for the answer to an append with it.
-FLIGHT_S = 1.2
-# Well below the store's limit of a call, for the frames of the records.
-CALL_SHARE = 0.9
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.8
+# After this time without an acknowledgement, the partition is read and the append
+# retried.
+ANSWER_TIMEOUT_S = 0.12
+# Concurrent attempts of the same append.
+MAX_CONCURRENT_APPENDS = 3
+CHECK_TIMEOUT_S = 0.3
+# After its timeout, a change waits this long for an append in progress.
+IN_FLIGHT_TIMEOUT_S = 1.2
+# Leaves room for record framing within the store's limit of a call.
+MAX_CALL_SHARE = 0.9
 
 
-class NotWrittenError(exception.LogError):
-    """The change was given up, and will never take effect."""
+class NotCommittedError(exception.LogError):
+    """The change was not committed and will not take effect."""
 
 
-class UnsettledError(exception.LogError):
-    """Time is up, and whether the change takes effect is not known."""
+class InDoubtError(exception.LogError):
+    """The timeout expired and the change may still take effect."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Change:
-    """A change that waits for its append.
+    """A change that is waiting to be appended.
 
     Attributes:
-        build: Function that gets the `job.JobTable` and returns records.
-        future: Ends with the change.
-        limited: Whether no other such change may share its append.
-        unsettled: Whether an append with this change had no answer yet.
+        build: Function from the `job.JobTable` to a list of records.
+        future: Completed with the result of the change.
+        exclusive: Whether an append may hold only one such change.
+        in_doubt: Whether an unacknowledged append with this change may take effect.
     """
 
     build: object
     future: asyncio.Future
-    limited: bool = False
-    unsettled: bool = False
+    exclusive: bool = False
+    in_doubt: bool = False
 
 
 class Ledger(feed.Follower):
-    """The partition of accepted jobs at one entry.
+    """Follows and appends to the partition of accepted jobs.
 
     Args:
         store: `pimentowick.platform.store.Store`.
         topic: Name of the keyed topic.
-        job_table: The `pimentowick.gateway.job.JobTable` that folds it.
-        pause_s: Pause between reads that found records, in seconds.
-        wait_s: How long the store may hold a read, in seconds.
-        call_bytes: Most bytes of one append.
+        job_table: The `pimentowick.gateway.job.JobTable` that the records update.
+        pause_s: Pause after a read that returned records, in seconds.
+        wait_s: Maximum duration of a long poll, in seconds.
+        call_bytes: Maximum size of one append, in bytes.
 
     Attributes:
-        job_table: The folded `pimentowick.gateway.job.JobTable`.
+        job_table: The `pimentowick.gateway.job.JobTable`.
         feed: The `feed.Feed` that keeps it up to date.
     """
 
@@ -81,200 +82,204 @@
         self.store = store
         self.job_table = job_table
         self.feed = feed.Feed(store, topic, 0, self, pause_s, wait_s)
-        self._call_bytes = call_bytes * CALL_SHARE
-        self._waiting = []
-        self._flight = None
+        self._call_bytes = call_bytes * MAX_CALL_SHARE
+        self._pending = []
+        self._in_flight = None
         self._wake = asyncio.Event()
 
     def reset(self, records):
-        """Fold the newest records."""
+        """Replace the accepted jobs by a snapshot; see `feed.Follower`."""
         self.job_table.reset_jobs(records)
 
     def apply(self, record):
-        """Fold one more record."""
+        """Apply one record; see `feed.Follower`."""
         self.job_table.apply_job(record.key, record.value)
 
     @property
     def is_loaded(self):
-        """Whether the partition was read to its end once."""
+        """Whether the partition has been read to its end at least once."""
         return self.feed.end is not None
 
     async def drop(self, job_id):
-        """Drop a job that is closed.
+        """Delete the record of a job.
 
         Raises:
-            LogError: It is not known to be dropped.
+            LogError: The append was not acknowledged.
         """
-        dropped = record.drop_job(job_id)
-        await self.store.append(self.feed.topic, self.feed.part, [dropped], None)
+        tombstone = record.make_job_tombstone(job_id)
+        await self.store.append(self.feed.topic, self.feed.partition, [tombstone], None)
 
-    async def commit(self, build, timeout_s, limited=False):
-        """Append what `build` returns for the state at the end of the partition.
+    async def commit(self, build, timeout_s, exclusive=False):
+        """Append the records that `build` returns for the current end of the partition.
 
         Args:
-            build: Function from the `job.JobTable` to a list of records; an empty list
-                says that there is nothing to do. What it raises is raised here.
-            timeout_s: How long to try, in seconds.
-            limited: Whether `build` keeps a limit over several keys. Changes that
-                share an append don't see each other, so only one of these is in it.
+            build: Function from the `job.JobTable` to a list of records, empty if the
+                change is already applied. Its exceptions are raised to the caller.
+            timeout_s: Timeout, in seconds.
+            exclusive: Whether `build` checks a limit across keys. Changes in one append
+                do not see each other, so an append holds only one exclusive change.
 
         Raises:
-            NotWrittenError: Time is up, and the change will never take effect.
-            UnsettledError: Time is up, and it may take effect.
+            NotCommittedError: The timeout expired and the change will not take effect.
+            InDoubtError: The timeout expired and the change may still take effect.
         """
         future = asyncio.get_running_loop().create_future()
-        change = _Change(build, future, limited)
-        self._waiting.append(change)
+        change = _Change(build, future, exclusive)
+        self._pending.append(change)
         self._wake.set()
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.shield(change.future)
         except TimeoutError:
-            await self._give_up(change)
+            await self._resolve_timeout(change)
         finally:
-            # A change without an answer is let go; its effect shows in the book.
-            if change in self._waiting:
-                self._waiting.remove(change)
-
-    async def _give_up(self, change):
-        """Say what became of a change whose time is up."""
-        if change in self._waiting:
-            self._waiting.remove(change)
-        if change.unsettled and self._flight is not None:
-            # The answer to the append under way says whether it took effect.
-            await asyncio.wait({self._flight}, timeout=FLIGHT_S)
+            # Its effect, if any, is visible in the job table.
+            if change in self._pending:
+                self._pending.remove(change)
+
+    async def _resolve_timeout(self, change):
+        """Determine the result of a change whose timeout has expired."""
+        if change in self._pending:
+            self._pending.remove(change)
+        if change.in_doubt and self._in_flight is not None:
+            # The result of the append in progress tells whether the change took effect.
+            await asyncio.wait({self._in_flight}, timeout=IN_FLIGHT_TIMEOUT_S)
         if change.future.done():
             await change.future
             return
-        if change.unsettled:
-            raise UnsettledError("The store has not answered.")
+        if change.in_doubt:
+            raise InDoubtError(
+                "An append was not acknowledged and may still take effect."
+            )
         if not change.build(self.job_table):
             return
-        raise NotWrittenError("The store took no append in time.")
+        raise NotCommittedError("No append was acknowledged before the timeout.")
 
     async def run(self):
-        """Append changes until cancelled."""
-        delay = FIRST_DELAY_S
+        """Append pending changes in batches until cancelled."""
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            if not self._waiting:
+            if not self._pending:
                 self._wake.clear()
                 await self._wake.wait()
             try:
                 if not self.is_loaded:
                     await self.feed.refresh()
-                self._flight = asyncio.ensure_future(self._append_waiting())
-                await self._flight
-                delay = FIRST_DELAY_S
+                self._in_flight = asyncio.ensure_future(self._append_batch())
+                await self._in_flight
+                backoff_s = INITIAL_BACKOFF_S
             except exception.LogError as error:
                 decision.note_belief(
                     "ledger.delayed",
-                    waiting=len(self._waiting),
+                    waiting=len(self._pending),
                     why=str(error),
                 )
-                await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, LAST_DELAY_S)
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
-    async def _append_waiting(self):
-        at = self.feed.end
-        batch, records = self._build_waiting()
+    async def _append_batch(self):
+        expected_end = self.feed.end
+        batch, records = self._build_batch()
         if not batch:
             return
-        before = [change.unsettled for change in batch]
+        was_in_doubt = [change.in_doubt for change in batch]
         for change in batch:
-            change.unsettled = True
+            change.in_doubt = True
         try:
-            if not await self._append(records, at):
-                _settle(batch)
+            if not await self._append(records, expected_end):
+                _clear_in_doubt(batch)
                 return
         except platform_store.RejectedError:
-            # An earlier append of the same change may still be without an answer.
-            for change, unsettled in zip(batch, before, strict=True):
-                change.unsettled = unsettled
+            # An earlier append of the same change may still be unacknowledged.
+            for change, in_doubt in zip(batch, was_in_doubt, strict=True):
+                change.in_doubt = in_doubt
             raise
         except (platform_store.ChangedError, platform_store.UncertainError):
             await self.feed.refresh()
-            # Nothing is settled before the records that came instead are read: one
-            # of them may be a former append of the same change.
-            if self.feed.end > at:
-                _settle(batch)
+            # Changes stay in doubt until newer records have been read: an earlier
+            # append of the same change may be among them.
+            if self.feed.end > expected_end:
+                _clear_in_doubt(batch)
             return
-        self.feed.take(records, at)
+        self.feed.apply_records(records, expected_end)
         for change in batch:
-            self._end(change)
+            self._complete(change)
 
-    async def _append(self, records, at):
-        """Append; return False if the partition has moved on before the answer came.
+    async def _append(self, records, expected_end):
+        """Append records; return False if the partition has advanced without an ack.
 
-        An answer may be lost or late, and the records taken at once, seconds later or
-        never. Whether they were shows in the partition; until they are, the same append
-        is made again: under one condition no more than one takes effect.
+        The store may apply an unacknowledged append at once, later or never. The
+        partition is read to find out, and the append is retried until then. The
+        condition ensures that at most one attempt takes effect.
         """
-        topic, part = self.feed.topic, self.feed.part
+        topic, partition = self.feed.topic, self.feed.partition
         tasks = set()
         errors = []
         try:
             while tasks or not errors:
-                if not errors and len(tasks) < MOST_APPENDS:
-                    append = self.store.append(topic, part, records, at)
+                if not errors and len(tasks) < MAX_CONCURRENT_APPENDS:
+                    append = self.store.append(topic, partition, records, expected_end)
                     tasks.add(asyncio.ensure_future(append))
                 done, tasks = await asyncio.wait(
-                    tasks, timeout=LATE_S, return_when=asyncio.FIRST_COMPLETED
+                    tasks, timeout=ANSWER_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
                 )
-                found = [task.exception() for task in done]
-                if None in found:
+                attempt_errors = [task.exception() for task in done]
+                if None in attempt_errors:
                     return True
-                errors += found
-                if not done and await self._has_moved(at):
+                errors += attempt_errors
+                if not done and await self._has_advanced(expected_end):
                     return False
             raise _choose_error(errors)
         finally:
             for task in tasks:
                 task.cancel()
 
-    async def _has_moved(self, at):
-        """Return whether the partition is known to end behind an offset by now."""
+    async def _has_advanced(self, expected_end):
+        """Return whether the partition is known to end after an offset."""
         try:
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(CHECK_TIMEOUT_S):
                 await self.feed.refresh()
         except (TimeoutError, exception.LogError):
             pass
-        return self.feed.end > at
+        return self.feed.end > expected_end
 
-    def _build_waiting(self):
+    def _build_batch(self):
         batch = []
         records = []
         keys = set()
-        size = 0
-        for change in list(self._waiting):
-            found = self._build_one(change)
-            found_size = sum(len(record.key) + len(record.value) for record in found)
-            found_keys = {record.key for record in found}
-            if not found or found_keys & keys:
+        batch_bytes = 0
+        for change in list(self._pending):
+            new_records = self._build_one(change)
+            size_bytes = sum(
+                len(record.key) + len(record.value) for record in new_records
+            )
+            record_keys = {record.key for record in new_records}
+            if not new_records or record_keys & keys:
                 continue
-            if change.limited and any(other.limited for other in batch):
+            if change.exclusive and any(other.exclusive for other in batch):
                 continue
-            if batch and size + found_size > self._call_bytes:
+            if batch and batch_bytes + size_bytes > self._call_bytes:
                 break
             batch.append(change)
-            records += found
-            keys |= found_keys
-            size += found_size
+            records += new_records
+            keys |= record_keys
+            batch_bytes += size_bytes
         return batch, records
 
     def _build_one(self, change):
         try:
-            found = change.build(self.job_table)
+            records = change.build(self.job_table)
         except Exception as error:
-            self._end(change, error)
+            self._complete(change, error)
             return []
-        if not found:
-            self._end(change)
-        return found
-
-    def _end(self, change, error=None):
-        change.unsettled = False
-        if change in self._waiting:
-            self._waiting.remove(change)
+        if not records:
+            self._complete(change)
+        return records
+
+    def _complete(self, change, error=None):
+        change.in_doubt = False
+        if change in self._pending:
+            self._pending.remove(change)
         if change.future.done():
             return
         if error is None:
@@ -283,16 +288,16 @@
             change.future.set_exception(error)
 
 
-def _settle(batch):
-    """Note that the partition has moved on: a former append cannot land any more."""
+def _clear_in_doubt(batch):
+    """Mark changes as resolved: their condition cannot hold any more."""
     for change in batch:
-        change.unsettled = False
+        change.in_doubt = False
 
 
 def _choose_error(errors):
-    """Return the error that says most of some appends with the same records.
+    """Return the most conservative error of several attempts of one append.
 
-    Nothing was done only if none of them did anything.
+    The append is known to have no effect only if this holds for every attempt.
     """
     for kind in (platform_store.ChangedError, platform_store.UncertainError):
         for error in errors:
--- a/pimentowick/gateway/loss.py
+++ b/pimentowick/gateway/loss.py
@@ -1,42 +1,48 @@
-"""What was late or failed in a day, by cause, from the gateways' decision logs.
+"""Counts requests and items that missed their deadlines, by cause.
 
 Notes:
-    Each online request and each batch item counts once, under one cause, so that the
-    causes of a kind add up to what was not in time. Attempts of one caller carry
-    different ids and count each: the logs cannot tell that they belong together.
-    Callers that reached no gateway at all have no line and are missing here.
+    Each online request and each item counts once, under one cause, so that the counts
+    of a kind add up to its total of misses. Retries of a caller have different ids and
+    count separately, since the logs do not link them. Requests that reached no gateway
+    are not in the logs.
 """
 
 import collections
 import dataclasses
 
-__all__ = ["Loss", "explain_item", "explain_online", "list_losses", "to_rows"]
+__all__ = [
+    "MissCount",
+    "count_misses",
+    "explain_item",
+    "explain_online",
+    "format_misses",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loss:
-    """What was not in time for one cause.
+class MissCount:
+    """Number of missed deadlines for one cause.
 
     Attributes:
-        kind: Kind of request, as the routes name it, or ``item``.
-        cause: Why, in a few words.
-        count: Number of requests or items.
-        asked: Number of all of this kind.
+        kind: Kind of request as named by its route, or ``item``.
+        cause: Cause in a few words.
+        count: Number of requests or items that missed their deadlines.
+        total: Number of all requests or items of this kind.
     """
 
     kind: str
     cause: str
     count: int
-    asked: int
+    total: int
 
 
-def explain_online(own):
+def explain_online(id_lines):
     """Return (kind, cause) of an online request; the cause is "" if it was in time.
 
     Args:
-        own: The `pimentowick.gateway.history.Line` objects of its id, by time.
+        id_lines: The `pimentowick.gateway.history.Line` objects of its id, by time.
     """
-    last = own[-1]
+    last = id_lines[-1]
     data = last.data
     kind = data.get("kind", "unknown")
     if last.event == "caller.refused":
@@ -49,31 +55,34 @@
         return kind, ""
     if data.get("outcome") != "answered":
         return kind, f"{data.get('outcome')}, status {data.get('status')}"
-    return kind, _explain_late(own)
+    return kind, _explain_late(id_lines)
 
 
-def _explain_late(own):
-    sent = [line for line in own if line.event == "online.sent"]
+def _explain_late(id_lines):
+    sent = [line for line in id_lines if line.event == "online.sent"]
     if len(sent) > 1:
         return "late: its first target failed"
     if not sent:
         return "late"
     data = sent[0].data
-    if data["waited_s"] > (own[-1].data["first_s"] or own[-1].data["took_s"]) / 2:
+    if (
+        data["waited_s"]
+        > (id_lines[-1].data["first_s"] or id_lines[-1].data["took_s"]) / 2
+    ):
         return "late: waited for a place"
     if data["online"] + data["batch"] >= data["slots"]:
         return "late: sent to a full target"
     return "late: slow at a target with free places"
 
 
-def explain_item(own):
-    """Return the cause for which an item was late, "" if it was in time.
+def explain_item(id_lines):
+    """Return why an item missed its deadline, or "" if it was in time.
 
     Args:
-        own: The lines of its id, by time.
+        id_lines: The `pimentowick.gateway.history.Line` objects of its id, by time.
     """
-    runs = [line for line in own if line.event == "item.ran"]
-    last = own[-1]
+    runs = [line for line in id_lines if line.event == "item.ran"]
+    last = id_lines[-1]
     if last.event == "item.given_up":
         return f"given up: {last.data.get('outcome')}"
     if not runs or runs[-1].data.get("outcome") != "answered":
@@ -81,14 +90,14 @@
     due_in_s = runs[-1].data.get("due_in_s")
     if due_in_s is None or due_in_s >= 0:
         return ""
-    return "late: " + _explain_late_item(own, runs)
+    return "late: " + _explain_late_item(id_lines, runs)
 
 
-def _explain_late_item(own, runs):
-    processes = {line.process for line in own}
-    preemptions = sum(line.event == "item.preempted" for line in own)
+def _explain_late_item(id_lines, runs):
+    processes = {line.process for line in id_lines}
+    preemptions = sum(line.event == "item.preempted" for line in id_lines)
     broken = sum(line.data.get("outcome") != "answered" for line in runs)
-    sent = [line for line in own if line.event == "item.sent"]
+    sent = [line for line in id_lines if line.event == "item.sent"]
     if len(sent) > preemptions + len(runs):
         return "its gateway ended or lost its part"
     if len(processes) > 1:
@@ -102,8 +111,8 @@
     return "waited for a place"
 
 
-def list_losses(lines):
-    """Return the `Loss` objects of a day, the largest of each kind first.
+def count_misses(lines):
+    """Return the `MissCount` objects by kind, with the largest counts first.
 
     Args:
         lines: All `pimentowick.gateway.history.Line` objects, in order of time.
@@ -112,40 +121,43 @@
     for line in lines:
         if "id" in line.data:
             by_id[line.data["id"]].append(line)
-    asked = collections.Counter()
-    lost = collections.Counter()
-    for own in by_id.values():
-        found = _explain(own)
-        if found is None:
+    total = collections.Counter()
+    missed = collections.Counter()
+    for id_lines in by_id.values():
+        classified = _explain(id_lines)
+        if classified is None:
             continue
-        kind, cause = found
-        asked[kind] += 1
+        kind, cause = classified
+        total[kind] += 1
         if cause:
-            lost[kind, cause] += 1
+            missed[kind, cause] += 1
     return [
-        Loss(kind, cause, count, asked[kind])
+        MissCount(kind, cause, count, total[kind])
         for (kind, cause), count in sorted(
-            lost.items(), key=lambda entry: (entry[0][0], -entry[1], entry[0][1])
+            missed.items(), key=lambda entry: (entry[0][0], -entry[1], entry[0][1])
         )
     ]
 
 
-def _explain(own):
-    if own[-1].event.startswith("item."):
-        return "item", explain_item(own)
-    if own[-1].event.startswith("online.") or own[-1].event == "caller.refused":
-        return explain_online(own)
+def _explain(id_lines):
+    if id_lines[-1].event.startswith("item."):
+        return "item", explain_item(id_lines)
+    if (
+        id_lines[-1].event.startswith("online.")
+        or id_lines[-1].event == "caller.refused"
+    ):
+        return explain_online(id_lines)
     return None
 
 
-def to_rows(losses):
-    """Return a day's losses as rows of text."""
+def format_misses(misses):
+    """Return the counts as rows of text."""
     rows = []
     kind = None
-    for entry in losses:
-        if entry.kind != kind:
-            kind = entry.kind
-            total = sum(other.count for other in losses if other.kind == kind)
-            rows.append(f"not in time, {kind}: {total} of {entry.asked}")
-        rows.append(f"  {entry.count:5d}  {entry.cause}")
+    for miss in misses:
+        if miss.kind != kind:
+            kind = miss.kind
+            total = sum(other.count for other in misses if other.kind == kind)
+            rows.append(f"not in time, {kind}: {total} of {miss.total}")
+        rows.append(f"  {miss.count:5d}  {miss.cause}")
     return rows
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -1,11 +1,10 @@
-"""Writing what became of jobs: results, failures, ends.
+"""Log of job outcomes: results, failures and cancellations.
 
 Notes:
-    Records are appended under no condition, each under a key that no other has: of two
-    results of an item the first by offset counts, for all entries alike. So writers
-    don't wait for each other, however many they are and however slow the store is. An
-    append without an answer is done again under other keys; landing late, the first one
-    changes nothing.
+    Appends are unconditional and every record has a unique key. If an item has several
+    results, every entry uses the one with the lowest offset. Writers therefore do not
+    contend with each other. An unacknowledged append is retried with new keys; if the
+    first attempt takes effect later, its records are ignored as duplicates.
 """
 
 import asyncio
@@ -18,17 +17,17 @@
 
 __all__ = ["OutcomeLog"]
 
-FIRST_DELAY_S = 0.05
-LAST_DELAY_S = 0.8
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.8
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Change:
-    """A change that waits for its append.
+    """A change that is waiting to be appended.
 
     Attributes:
-        build: Function that returns records, none once there is nothing to do.
-        future: Ends with the change.
+        build: Function that returns a list of records, empty once they are applied.
+        future: Completed when the records are appended.
     """
 
     build: object
@@ -36,102 +35,106 @@
 
 
 class OutcomeLog(feed.Follower):
-    """The partition of outcomes at one entry.
+    """Follows and appends to the partition of job outcomes.
 
     Args:
         store: `pimentowick.platform.store.Store`.
         topic: Name of the keyed topic.
-        job_table: The `pimentowick.gateway.job.JobTable` that folds it.
-        pause_s: Pause between reads that found records, in seconds.
-        wait_s: How long the store may hold a read, in seconds.
+        job_table: The `pimentowick.gateway.job.JobTable` that the records update.
+        pause_s: Pause after a read that returned records, in seconds.
+        wait_s: Maximum duration of a long poll, in seconds.
 
     Attributes:
-        feed: The `feed.Feed` that keeps the book up to date.
+        feed: The `feed.Feed` that keeps the table up to date.
     """
 
     def __init__(self, store, topic, job_table, pause_s, wait_s):
         self._store = store
-        self._book = job_table
+        self._job_table = job_table
         self.feed = feed.Feed(store, topic, 0, self, pause_s, wait_s)
-        self._waiting = []
+        self._pending = []
         self._wake = asyncio.Event()
 
     def reset(self, records):
-        """Fold the newest records."""
-        self._book.reset_outcomes(records)
+        """Replace the outcomes by a snapshot; see `feed.Follower`."""
+        self._job_table.reset_outcomes(records)
 
     def apply(self, record):
-        """Fold one more record."""
-        self._book.apply_outcome(record.key, record.value)
+        """Apply one record; see `feed.Follower`."""
+        self._job_table.apply_outcome(record.key, record.value)
 
     async def put(self, build, timeout_s):
-        """Append what `build` returns until the book shows that nothing is to do.
+        """Append the records that `build` returns until they are applied to the table.
 
         Args:
-            build: Function that returns records, none once their effect shows in the
-                book. It is called anew for each try, and names its records anew.
-            timeout_s: How long to try, in seconds.
+            build: Function that returns a list of records, empty once they are applied.
+                It is called for each attempt and must create new keys each time.
+            timeout_s: Timeout, in seconds.
 
         Raises:
-            LogError: Time is up, and it is not known whether the records count.
+            LogError: The timeout expired; the records may still take effect.
         """
         ends_at = time.monotonic() + timeout_s
         change = _Change(build, asyncio.get_running_loop().create_future())
-        self._waiting.append(change)
+        self._pending.append(change)
         self._wake.set()
         try:
             async with asyncio.timeout(timeout_s):
                 await change.future
                 while build():
-                    await self.feed.wait_changed(ends_at - time.monotonic())
+                    await self.feed.wait_for_change(ends_at - time.monotonic())
         except TimeoutError:
-            raise exception.LogError("The store took no append in time.") from None
+            raise exception.LogError(
+                "No append was acknowledged before the timeout."
+            ) from None
         finally:
-            if change in self._waiting:
-                self._waiting.remove(change)
+            if change in self._pending:
+                self._pending.remove(change)
 
     async def drop(self, keys):
-        """Drop records of a job that is dropped.
+        """Delete the outcome records of a deleted job.
 
         Raises:
-            LogError: They are not known to be dropped.
+            LogError: The append was not acknowledged.
         """
-        records = [record.drop(key) for key in keys]
+        records = [record.make_tombstone(key) for key in keys]
         if records:
-            await self._store.append(self.feed.topic, self.feed.part, records, None)
+            await self._store.append(
+                self.feed.topic, self.feed.partition, records, None
+            )
 
     async def run(self):
-        """Append changes until cancelled."""
-        delay = FIRST_DELAY_S
+        """Append pending changes in batches until cancelled."""
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            if not self._waiting:
+            if not self._pending:
                 self._wake.clear()
                 await self._wake.wait()
             try:
-                await self._append_waiting()
-                delay = FIRST_DELAY_S
+                await self._append_batch()
+                backoff_s = INITIAL_BACKOFF_S
             except exception.LogError as error:
                 decision.note_belief(
-                    "outcomes.delayed", waiting=len(self._waiting), why=str(error)
+                    "outcomes.delayed", waiting=len(self._pending), why=str(error)
                 )
-                await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, LAST_DELAY_S)
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
-    async def _append_waiting(self):
-        batch = list(self._waiting)
+    async def _append_batch(self):
+        batch = list(self._pending)
         await hedging.hedge(lambda: self._append(batch))
         for change in batch:
-            if change in self._waiting:
-                self._waiting.remove(change)
+            if change in self._pending:
+                self._pending.remove(change)
             if not change.future.done():
                 change.future.set_result(None)
 
     async def _append(self, batch):
-        """Append what changes still need; each time under keys of its own."""
-        records = [entry for change in batch for entry in change.build()]
+        """Append the records of unapplied changes, with new keys on each call."""
+        records = [new_record for change in batch for new_record in change.build()]
         if not records:
             return
-        topic, part = self.feed.topic, self.feed.part
-        end = await self._store.append(topic, part, records, None)
+        topic, partition = self.feed.topic, self.feed.partition
+        end = await self._store.append(topic, partition, records, None)
         if self.feed.end == end - len(records):
-            self.feed.take(records, end - len(records))
+            self.feed.apply_records(records, end - len(records))
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -1,9 +1,9 @@
-"""Which part of the batch work is this entry's: what a group of the store deals it.
+"""Membership in the consumer group that assigns job partitions to entries.
 
 Notes:
-    Two entries may hold the same part for a while, when a lease has lapsed at the
-    store and its holder does not know yet. That costs a second run; what is listed
-    is decided by the fold of the records (see `pimentowick.gateway.ledger`).
+    Two entries may run the same partition for a while, if a lease has expired at the
+    store and its holder has not noticed yet. Items then run twice, but only the first
+    result of each item counts (see `pimentowick.gateway.outcome_log`).
 """
 
 import asyncio
@@ -15,80 +15,79 @@
 from pimentowick.gateway import decision
 from pimentowick.gateway.policy import reachability
 
-__all__ = ["Ownership", "find_part"]
+__all__ = ["Ownership", "find_partition"]
 
 GROUP = "batch"
-# Nothing is written there; its partitions stand for the parts of the work.
+# Holds no records; only its partitions are assigned.
 TOPIC = "work"
-# Renewals in the time of a lease: three may be lost. A renewal is paid for as a tenth
-# of a call.
-RENEWALS = 4
-# Items of a host that is gone, and texts of one that the store turns away, stand or are
-# lost for so long; a host that stands still for longer does no work meanwhile.
+# Up to three consecutive renewals may be lost.
+RENEWALS_PER_LEASE = 4
+# Bounds how long the items of a crashed host stay idle.
 LEASE_S = 2.0
-# The store may take a lease away before its end. Two renewals that failed while
-# others reach the store say so; a part run twice costs all that its items take.
-DOUBT_SHARE = 0.5
-# How often is looked at what others tell, while the store gives no answer.
-CHECK_S = 0.05
+# The store may revoke a lease early. If two renewals fail while those of peers succeed,
+# it probably has, and running items twice is expensive.
+SUSPECT_LEASE_SHARE = 0.5
+# Interval of checking the renewals of peers while a renewal is unanswered.
+PEER_CHECK_INTERVAL_S = 0.05
 
 
-def find_part(item_id, parts):
-    """Return the number of the part that an item belongs to.
+def find_partition(job_id, partition_count):
+    """Return the number of the partition that a job belongs to.
 
     Examples:
-        >>> find_part("e5b2907c14da6f38", 8)
+        >>> find_partition("e5b2907c14da6f38", 8)
         5
     """
-    return zlib.crc32(item_id.encode()) % parts
+    return zlib.crc32(job_id.encode()) % partition_count
 
 
 class Ownership:
-    """Keeps this entry in the group.
+    """Renews this entry's membership and tracks its assigned partitions.
 
     Args:
         store: `pimentowick.platform.store.Store`.
-        member: Name of the entry in the group, the same after each start.
-        least_lease_s: Shortest lease that the store takes, in seconds.
-        on_change: Function called when other parts are dealt.
-        get_others_renewal: Function that returns the monotonic time at which the newest
-            lease of another entry was renewed.
+        member: Name of the entry in the group, stable across restarts.
+        least_lease_s: Minimum lease that the store accepts, in seconds.
+        on_change: Function called when the assignment changes.
+        get_peer_renewal: Function that returns the monotonic time of the latest lease
+            renewal of any other entry.
 
     Attributes:
-        parts: Numbers of the parts dealt to this entry.
+        partitions: Numbers of the partitions assigned to this entry.
         renewed_at: Monotonic time of the last renewal, or None.
-        is_alone: Whether others reach the store, and this entry did not.
+        released_while_cut_off: Whether the partitions were released because this entry
+            alone has lost the store.
     """
 
-    def __init__(self, store, member, least_lease_s, on_change, get_others_renewal):
+    def __init__(self, store, member, least_lease_s, on_change, get_peer_renewal):
         self._store = store
         self._member = member
         self._lease_s = max(LEASE_S, least_lease_s)
         self._on_change = on_change
-        self._get_others_renewal = get_others_renewal
+        self._get_peer_renewal = get_peer_renewal
         self.renewed_at = None
-        self.is_alone = False
+        self.released_while_cut_off = False
         self._reachability = reachability.Reachability()
         self._generation = 0
-        self.parts = frozenset()
+        self.partitions = frozenset()
 
     async def run(self):
-        """Renew until cancelled."""
+        """Renew the lease until cancelled."""
         while True:
             self._reachability.begin(time.monotonic())
             try:
-                await self._try()
+                await self._attempt_renewal()
             except exception.LogError as error:
-                self._note_failure(error)
+                self._on_renewal_failed(error)
             finally:
                 self._reachability.end()
             await self._pause()
 
-    async def _try(self):
-        """Renew; break off as soon as others are seen to reach the store.
+    async def _attempt_renewal(self):
+        """Renew the lease; abort once peers are seen to reach the store.
 
-        After an outage a try may wait for an answer that was lost in it, where a new
-        one gets its answer at once.
+        An attempt that began during an outage may wait for a lost answer, while a new
+        attempt would be answered at once.
 
         Raises:
             LogError: The lease was not renewed.
@@ -96,84 +95,87 @@
         renewal = asyncio.ensure_future(self._renew())
         try:
             while not renewal.done():
-                await asyncio.wait({renewal}, timeout=CHECK_S)
-                if not renewal.done() and self._sees_others():
-                    raise exception.LogError("Others reach the store meanwhile.")
+                await asyncio.wait({renewal}, timeout=PEER_CHECK_INTERVAL_S)
+                if not renewal.done() and self._detect_peer_renewal():
+                    raise exception.LogError(
+                        "No answer to the renewal, while other entries renewed theirs."
+                    )
             renewal.result()
         finally:
             renewal.cancel()
 
     async def _pause(self):
-        """Wait until the next renewal; not at all once others reach the store again."""
-        pause_s = self._lease_s / RENEWALS * random.uniform(0.8, 1.0)
+        """Wait until the next renewal; after a failure, only until peers succeed."""
+        pause_s = self._lease_s / RENEWALS_PER_LEASE * random.uniform(0.8, 1.0)
         if not self._reachability.has_failed:
             await asyncio.sleep(pause_s)
             return
         ends_at = time.monotonic() + pause_s
-        while not self._sees_others():
+        while not self._detect_peer_renewal():
             left_s = ends_at - time.monotonic()
             if left_s <= 0:
                 return
-            await asyncio.sleep(min(CHECK_S, left_s))
+            await asyncio.sleep(min(PEER_CHECK_INTERVAL_S, left_s))
 
-    def _sees_others(self):
-        """Return whether others are seen for the first time to reach the store."""
-        return self._reachability.see_others(
-            time.monotonic(), self._get_others_renewal()
-        )
+    def _detect_peer_renewal(self):
+        """Return whether peers are newly seen to reach the store."""
+        return self._reachability.see_others(time.monotonic(), self._get_peer_renewal())
 
     @property
     def is_cut_off(self):
-        """Whether this entry alone does not reach the store."""
+        """Whether this entry alone has lost the store."""
         return self._reachability.is_cut_off(time.monotonic(), self._store.reached_at)
 
-    def _note_failure(self, error):
+    def _on_renewal_failed(self, error):
         if not self._reachability.has_failed:
             decision.note_belief(
-                "ownership.lost_store", parts=sorted(self.parts), why=str(error)
+                "ownership.lost_store", parts=sorted(self.partitions), why=str(error)
             )
         self._reachability.fail()
         if self.is_cut_off:
-            self._give_up_lapsed()
+            self._release_suspect_lease()
 
     def get_lease_age(self):
-        """Return how many seconds ago the lease was renewed, or None."""
+        """Return the seconds since the last renewal, or None."""
         if self.renewed_at is None:
             return None
         return time.monotonic() - self.renewed_at
 
-    def _give_up_lapsed(self):
-        """Give the parts up if the lease may have ended, for others run them by now."""
-        if not self.parts or self.get_lease_age() < self._lease_s * DOUBT_SHARE:
+    def _release_suspect_lease(self):
+        """Release the partitions if the lease may have been reassigned."""
+        if (
+            not self.partitions
+            or self.get_lease_age() < self._lease_s * SUSPECT_LEASE_SHARE
+        ):
             return
-        self.is_alone = True
-        decision.note_belief("ownership.given_up", parts=sorted(self.parts))
-        self.parts = frozenset()
+        self.released_while_cut_off = True
+        decision.note_belief("ownership.given_up", parts=sorted(self.partitions))
+        self.partitions = frozenset()
         self._on_change()
 
     async def leave(self):
-        """Give the parts back at once."""
-        self.parts = frozenset()
+        """Leave the group, so that the partitions are reassigned at once."""
+        self.partitions = frozenset()
         try:
             await self._store.leave(GROUP, self._member)
         except exception.LogError as error:
             decision.note_belief("ownership.leave_failed", why=str(error))
 
     async def _renew(self):
-        dealt = await self._store.join(
+        assignment = await self._store.join(
             GROUP, self._member, TOPIC, self._lease_s, self._generation
         )
-        self._generation = dealt.generation
+        self._generation = assignment.generation
         self.renewed_at = time.monotonic()
         self._reachability.succeed()
-        self.is_alone = False
-        if dealt.parts == self.parts:
+        self.released_while_cut_off = False
+        if assignment.parts == self.partitions:
             return
         decision.note_belief(
             "ownership.changed",
-            generation=dealt.generation,
-            parts=sorted(dealt.parts),
-            before=sorted(self.parts),
+            generation=assignment.generation,
+            parts=sorted(assignment.parts),
+            before=sorted(self.partitions),
         )
-        self.parts = dealt.parts
+        self.partitions = assignment.parts
         self._on_change()
--- a/pimentowick/gateway/preparation.py
+++ b/pimentowick/gateway/preparation.py
@@ -1,10 +1,10 @@
-"""Reading what the items of a job need before they can run.
+"""Prefetches the item bodies and checkpoints of jobs.
 
 Notes:
-    Items are read as soon as they are this entry's, so that none holds a place at a
-    target meanwhile, and so that they can run while the store is away. The bodies of a
-    job that was accepted just now lie together; of one that another entry may have run
-    before, all contents are read, with the texts that it recorded.
+    Contents are read as soon as this entry owns the job, so that an item does not
+    occupy a slot of a target while its body is read, and can start during an outage of
+    the store. The bodies of a new job are contiguous in the log. A job that another
+    entry may have run has checkpoints as well, so all of its contents are read.
 """
 
 import asyncio
@@ -13,18 +13,18 @@
 from pimentowick import exception
 from pimentowick.gateway import decision
 
-__all__ = ["Preparation"]
+__all__ = ["ContentPrefetcher"]
 
-FIRST_DELAY_S = 0.1
-LAST_DELAY_S = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
-class Preparation:
-    """Reads the contents of jobs, one job a call.
+class ContentPrefetcher:
+    """Reads the contents of jobs, with one task per job.
 
     Args:
         contents: `pimentowick.gateway.content.Contents`.
-        on_read: Function that gets the identifier of a job, and its contents by name.
+        on_read: Function called with the identifier of a job and its contents by name.
     """
 
     def __init__(self, contents, on_read):
@@ -33,33 +33,33 @@
         self._owned_since = {}
         self._tasks = {}
 
-    def note_parts(self, before, parts):
-        """Note which parts of the batch work are this entry's from now on."""
+    def update_partitions(self, before, after):
+        """Update the time since which this entry owns each partition."""
         now = time.monotonic()
-        for part in parts - before:
-            self._owned_since[part] = now
-        for part in before - parts:
-            self._owned_since.pop(part, None)
+        for partition in after - before:
+            self._owned_since[partition] = now
+        for partition in before - after:
+            self._owned_since.pop(partition, None)
 
-    def prepare(self, job, part):
-        """Begin to read what a job's items need, unless that is under way."""
+    def start_reading(self, job, partition):
+        """Start to read the contents of a job unless a read is in progress."""
         if job.id in self._tasks:
             return
-        is_new = self._owned_since.get(part, float("inf")) < job.learnt_at
+        is_new = self._owned_since.get(partition, float("inf")) < job.received_at
         task = asyncio.create_task(self._read(job, is_new))
         self._tasks[job.id] = task
         task.add_done_callback(lambda _: self._tasks.pop(job.id, None))
 
     async def _read(self, job, is_new):
-        delay = FIRST_DELAY_S
+        backoff_s = INITIAL_BACKOFF_S
         while job.is_open:
             try:
                 self._on_read(job.id, await self._read_once(job, is_new))
                 return
             except exception.LogError as error:
                 decision.note_request("batch.not_read", job.id, why=str(error))
-            await asyncio.sleep(delay)
-            delay = min(delay * 2, LAST_DELAY_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
             is_new = False
 
     async def _read_once(self, job, is_new):
@@ -68,10 +68,10 @@
         bodies = [
             item.body for number, item in enumerate(job.items) if job.needs_run(number)
         ]
-        return await self._contents.read(job.id, bodies, keep=False)
+        return await self._contents.read(job.id, bodies, cache=False)
 
     async def close(self):
-        """Stop reading."""
+        """Cancel all reads."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/pimentowick/gateway/record.py
+++ b/pimentowick/gateway/record.py
@@ -1,18 +1,18 @@
-"""The records of batch jobs: keys and values as the job module folds them."""
+"""Encoding of the records of batch jobs, which `pimentowick.gateway.job` decodes."""
 
 import orjson
 
 from pimentowick.platform import store
 
 __all__ = [
-    "drop",
-    "drop_job",
-    "make_end",
+    "make_cancellation",
     "make_failure",
     "make_job",
+    "make_job_tombstone",
     "make_result",
+    "make_tombstone",
     "name_body",
-    "name_piece",
+    "name_checkpoint",
     "name_text",
 ]
 
@@ -22,32 +22,32 @@
 
     Args:
         number: Number of the item.
-        writer: Name that no other submission of the job has: a body that was refused is
-            dropped, and must not be that of a submission accepted elsewhere.
+        writer: Identifier unique to the submission. Deleting the bodies of a refused
+            submission must not affect an accepted submission of the same job.
     """
     return f"b/{number}/{writer}"
 
 
-def name_piece(number, writer):
-    """Return the name of a piece of an item's text, written while it runs."""
+def name_checkpoint(number, writer):
+    """Return the name of a checkpoint of an item's text."""
     return f"t/{number}/{writer}"
 
 
 def name_text(number, writer):
-    """Return the name of an item's whole text."""
+    """Return the name of an item's complete text."""
     return f"r/{number}/{writer}"
 
 
 def make_job(job_id, host, path, submitted_s, items, workspace=None):
-    """Return the record of an accepted job, whose bodies lie in the store already.
+    """Return the record of an accepted job, whose bodies have been stored.
 
     Args:
-        job_id: Name of the job among all (see `pimentowick.gateway.workspace`).
+        job_id: Identifier of the job (see `pimentowick.gateway.workspace`).
         host: Host header of the submission.
         path: Path of the submission.
-        submitted_s: Unix time of the acceptance.
-        items: The `pimentowick.gateway.job.Item` objects, with references of bodies.
-        workspace: Name of the workspace that it belongs to, or None without one.
+        submitted_s: Unix time of acceptance.
+        items: The `pimentowick.gateway.job.Item` objects, with their bodies stored.
+        workspace: Name of the workspace that owns the job, or None.
     """
     rows = [
         {
@@ -66,34 +66,34 @@
 
 
 def make_result(job_id, number, writer, done, text):
-    """Return the record that lists an item.
+    """Return the record of an item's result.
 
     Args:
         job_id: Identifier of the job.
         number: Number of the item.
-        writer: Name that no other result of the item has.
-        done: Whether it ran to its end.
+        writer: Identifier unique to this result.
+        done: Whether the item completed.
         text: The `pimentowick.gateway.content.Reference` of its text, or None.
     """
     data = {"done": done, "text": None if text is None else text.encode()}
     return store.KeyedRecord(f"i/{job_id}/{number}/{writer}", orjson.dumps(data))
 
 
-def make_failure(job_id, number, run):
-    """Return the record of a run, by its name, that the target said has failed."""
-    return store.KeyedRecord(f"f/{job_id}/{number}/{run}", b"1")
+def make_failure(job_id, number, run_id):
+    """Return the record of a run that the target reported as failed."""
+    return store.KeyedRecord(f"f/{job_id}/{number}/{run_id}", b"1")
 
 
-def make_end(job_id):
-    """Return the record that ends a job."""
+def make_cancellation(job_id):
+    """Return the record that cancels a job."""
     return store.KeyedRecord(f"e/{job_id}", b"1")
 
 
-def drop(key):
-    """Return the record that drops a key."""
+def make_tombstone(key):
+    """Return the record that deletes a key."""
     return store.KeyedRecord(key, b"")
 
 
-def drop_job(job_id):
-    """Return the record that drops the one of an accepted job."""
-    return drop(f"j/{job_id}")
+def make_job_tombstone(job_id):
+    """Return the record that deletes an accepted job."""
+    return make_tombstone(f"j/{job_id}")
--- a/pimentowick/gateway/retention.py
+++ b/pimentowick/gateway/retention.py
@@ -1,4 +1,4 @@
-"""Dropping from the store the jobs that nobody may read any more."""
+"""Deletion of jobs past their retention period."""
 
 import time
 
@@ -7,12 +7,12 @@
 
 __all__ = ["Retention"]
 
-# Clocks of hosts differ; a job stays somewhat longer than it has to.
-REMOVE_MARGIN_S = 30.0
+# Tolerates clock skew between hosts, so that no job is deleted early.
+CLOCK_SKEW_MARGIN_S = 30.0
 
 
 class Retention:
-    """Drops old jobs of the parts that this entry holds.
+    """Deletes expired jobs of the partitions that this entry owns.
 
     Args:
         settings: `pimentowick.platform.node.NodeSettings`.
@@ -26,21 +26,21 @@
         self._storage = storage
 
     async def remove_expired_jobs(self):
-        """Drop the jobs that nobody may read any more from the store.
+        """Delete closed jobs past their retention period from the store.
 
-        The store takes no appends once it is full, and keeps the newest record of
-        each key for good.
+        The store keeps the newest record of each key and refuses appends once it is
+        full.
         """
-        oldest = time.time() - self._settings.result_retention_s - REMOVE_MARGIN_S
-        for found in list(self._storage.job_table.jobs.values()):
-            part = ownership.find_part(found.id, self._settings.parts)
-            if found.is_open or found.submitted_s > oldest:
+        cutoff = time.time() - self._settings.result_retention_s - CLOCK_SKEW_MARGIN_S
+        for job in list(self._storage.job_table.jobs.values()):
+            partition = ownership.find_partition(job.id, self._settings.parts)
+            if job.is_open or job.submitted_s > cutoff:
                 continue
-            if part not in self._ownership.parts:
+            if partition not in self._ownership.partitions:
                 continue
             try:
-                await self._storage.remove(found)
+                await self._storage.remove(job)
             except exception.LogError as error:
-                decision.note_belief("job.not_removed", job=found.id, why=str(error))
+                decision.note_belief("job.not_removed", job=job.id, why=str(error))
                 return
-            decision.note_request("job.removed", found.id, outcome="too_old")
+            decision.note_request("job.removed", job.id, outcome="too_old")
--- a/pimentowick/gateway/route_removal.py
+++ b/pimentowick/gateway/route_removal.py
@@ -1,37 +1,38 @@
-"""Open jobs whose route the operator has removed."""
+"""Open jobs whose route was removed from the configuration."""
 
-__all__ = ["GRACE_S", "RemovedRoutes"]
+__all__ = ["GRACE_S", "RemovedRouteTracker"]
 
-# An operator who moves a route may remove it before adding it elsewhere; its jobs
-# wait for so long. Assumed.
+# Grace period in which a route may be added again, for example under a new name.
 GRACE_S = 10.0
 
 
-class RemovedRoutes:
-    """Notes since when open jobs have no route.
+class RemovedRouteTracker:
+    """Tracks since when open jobs have had no route.
 
-    Without an end their items would stay open for good, and their bodies in the store.
+    Without this, their items would stay open and their bodies stored indefinitely.
     """
 
     def __init__(self):
-        self._since = {}
+        self._orphaned_since = {}
 
-    def list_given_up(self, job_table, configuration, now):
-        """Return the jobs without a route for longer than that.
+    def list_abandoned(self, job_table, configuration, now):
+        """Return the open jobs without a route for longer than the grace period.
 
         Args:
             job_table: The `pimentowick.gateway.job.JobTable`.
-            configuration: The `pimentowick.gateway.route.Configuration` in force.
+            configuration: The current `pimentowick.gateway.route.Configuration`.
             now: Monotonic time, in seconds.
         """
         orphans = {
-            found.id: found
-            for found in job_table.open_jobs.values()
-            if configuration.find_batch(found.host, found.path) is None
+            job.id: job
+            for job in job_table.open_jobs.values()
+            if configuration.find_batch(job.host, job.path) is None
+        }
+        self._orphaned_since = {
+            job_id: self._orphaned_since.get(job_id, now) for job_id in orphans
         }
-        self._since = {job_id: self._since.get(job_id, now) for job_id in orphans}
         return [
             orphans[job_id]
-            for job_id, since in self._since.items()
+            for job_id, since in self._orphaned_since.items()
             if now - since > GRACE_S
         ]
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -1,4 +1,4 @@
-"""Running the items of batch jobs at targets."""
+"""Schedules and runs the items of batch jobs on targets."""
 
 import asyncio
 import collections
@@ -23,40 +23,44 @@
 
 __all__ = ["Runner"]
 
-# How often what waits is looked at when nothing changes.
-TICK_S = 0.1
-IDLE_S = 1.0
-# Longer than it takes to record that an item is given up.
-REMOVED_EVERY_S = 2.0
-# News of neighbours comes some tens of times a second. Items are preempted at once;
-# what waits is put in order less often, since that costs more.
-LEAST_PAUSE_S = 0.005
-LOOK_PAUSE_S = 0.02
+# Upper bound on the time between two scheduling passes.
+POLL_INTERVAL_S = 0.1
+IDLE_POLL_INTERVAL_S = 1.0
+# Exceeds the time that it takes to record an abandoned item.
+REMOVED_ROUTES_INTERVAL_S = 2.0
+# Load updates from peers arrive tens of times a second. Each one may preempt items;
+# scheduling is more expensive and runs less often.
+MIN_LOOP_INTERVAL_S = 0.005
+MIN_SCHEDULE_INTERVAL_S = 0.02
 RECORD_TIMEOUT_S = 20.0
-# For a text that another entry goes on after: it reads what is recorded by then.
-HAND_OVER_S = 2.0
-# Pause of an item after a failure, doubled with each.
-FAILURE_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 2.0
-UNREACHED_PAUSE_S = 0.1
-# Clocks of hosts differ, by a step of seconds at times: no item is given up early.
-CLOCK_MARGIN_S = 5.0
+# A new owner resumes from the last checkpoint, so this bounds the handover delay.
+HANDOVER_TIMEOUT_S = 2.0
+# Doubles with each consecutive failure.
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 2.0
+UNREACHABLE_BACKOFF_S = 0.1
+# Tolerates clock skew between hosts, so that no item is abandoned early.
+CLOCK_SKEW_MARGIN_S = 5.0
 
 
 class Runner:
-    """Runs the items that are this entry's.
+    """Runs the items of the job partitions that this entry owns.
 
     Args:
-        name: Name of this entry among its neighbours.
+        name: Name of this entry among its peers.
         failure_domain: Failure domain of this entry.
         storage: `pimentowick.gateway.job_storage.JobStorage`.
         table: `pimentowick.gateway.target.TargetTable`.
         pools: Function from a target to its `upstream.Pool`.
         health: `pimentowick.gateway.health.Health`.
-        get_configuration: Function that returns the configuration in force, or None.
-        parts: Number of parts of the work.
+        get_configuration: Function that returns the current configuration, or None.
+        partition_count: Number of partitions of the batch work.
         metrics: `pimentowick.gateway.metric.Metrics`.
-        on_change: Function called when a run starts or ends.
+        on_change: Function called when the load of this entry changes.
+
+    Attributes:
+        owned_partitions: Numbers of the partitions whose items this entry runs.
+        neighbours: `pimentowick.gateway.neighbour.Neighbours`.
     """
 
     def __init__(
@@ -68,103 +72,103 @@
         pools,
         health,
         get_configuration,
-        parts,
+        partition_count,
         metrics,
         on_change,
     ):
         self._name = name
         self._failure_domain = failure_domain
         self._storage = storage
-        self._preparation = preparation.Preparation(
-            storage.contents, self._take_contents
+        self._prefetcher = preparation.ContentPrefetcher(
+            storage.contents, self._on_contents_read
         )
         self._table = table
         self._pools = pools
         self._health = health
         self._get_configuration = get_configuration
-        self._parts = parts
+        self._partition_count = partition_count
         self._metrics = metrics
         self._on_change = on_change
         self._runs = {}
         self._service_times = {}
         self._wake = asyncio.Event()
         self._saving = set()
-        self._collected = None
-        self._next_round_at = 0.0
-        self._next_look_at = 0.0
-        self._removed = route_removal.RemovedRoutes()
-        self._next_removed_at = 0.0
-        self._ending = set()
-        self._recording = collections.Counter()
-        self._listing = set()
-        self.owned = frozenset()
+        self._reconciled_state = None
+        self._next_start_at = 0.0
+        self._next_schedule_at = 0.0
+        self._removed_routes = route_removal.RemovedRouteTracker()
+        self._next_removed_check_at = 0.0
+        self._abandoning = set()
+        self._recordings_in_flight = collections.Counter()
+        self._results_in_flight = set()
+        self.owned_partitions = frozenset()
         self.neighbours = None
 
     def list_runs(self):
-        """Return what this entry has to run or runs."""
+        """Return the `execution.Run` objects, both queued and running."""
         return list(self._runs.values())
 
-    def own(self, parts):
-        """Run the items of these parts from now on, and of no others."""
-        self._preparation.note_parts(self.owned, parts)
-        self.owned = parts
-        # What is not run any more is recorded before neighbours hear that it is free.
-        self._collect()
+    def set_partitions(self, partitions):
+        """Run the items of these partitions, and stop all other runs."""
+        self._prefetcher.update_partitions(self.owned_partitions, partitions)
+        self.owned_partitions = partitions
+        # Final checkpoints must be in flight before peers see the partitions as free.
+        self._reconcile_runs()
         self._on_change()
         self._wake.set()
 
     @property
-    def recording(self):
-        """Parts that were given up, and whose texts are not recorded yet."""
-        return frozenset(self._recording)
+    def recording_partitions(self):
+        """Released partitions with checkpoints or results still being written."""
+        return frozenset(self._recordings_in_flight)
 
     def wake(self):
-        """Look at what waits and what has to be preempted soon."""
-        if self.owned or self._runs:
+        """Trigger preemption and scheduling in the next loop iteration."""
+        if self.owned_partitions or self._runs:
             self._wake.set()
 
     async def run(self):
-        """Start and stop runs until cancelled."""
+        """Preempt and schedule items until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(self._get_pause()):
+                async with asyncio.timeout(self._get_poll_interval()):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
             self.preempt()
-            self._look_at_waiting()
-            await asyncio.sleep(LEAST_PAUSE_S)
+            self._schedule()
+            await asyncio.sleep(MIN_LOOP_INTERVAL_S)
 
-    def _look_at_waiting(self):
+    def _schedule(self):
         now = time.monotonic()
-        if now < self._next_look_at:
+        if now < self._next_schedule_at:
             return
-        self._next_look_at = now + LOOK_PAUSE_S
-        self._collect()
-        self._give_up_removed()
-        self._start_waiting()
-
-    def _get_pause(self):
-        """Return how long nothing has to be looked at."""
-        if not self.owned and not self._runs:
-            # Most of many entries have no part of the batch work.
-            return IDLE_S
-        next_at = max(self._next_round_at, self._next_look_at)
+        self._next_schedule_at = now + MIN_SCHEDULE_INTERVAL_S
+        self._reconcile_runs()
+        self._abandon_items_without_route()
+        self._start_ready()
+
+    def _get_poll_interval(self):
+        """Return the time until the next scheduling pass, in seconds."""
+        if not self.owned_partitions and not self._runs:
+            # With many entries, most of them own no partition.
+            return IDLE_POLL_INTERVAL_S
+        next_at = max(self._next_start_at, self._next_schedule_at)
         left_s = next_at - time.monotonic()
-        return min(TICK_S, left_s) if left_s > 0 else TICK_S
+        return min(POLL_INTERVAL_S, left_s) if left_s > 0 else POLL_INTERVAL_S
 
     async def close(self):
-        """Stop all runs and record how far they are."""
-        self.owned = frozenset()
+        """Stop all runs and write their final checkpoints."""
+        self.owned_partitions = frozenset()
         for key, run in self._runs.items():
             self._hand_over(key, run, RECORD_TIMEOUT_S)
         self._runs.clear()
-        await self._preparation.close()
+        await self._prefetcher.close()
         await asyncio.gather(*self._saving, return_exceptions=True)
 
     def preempt(self):
-        """Take items off targets that have more requests than places."""
+        """Preempt batch items on targets whose load exceeds their slots."""
         running = {}
         for run in self._runs.values():
             if run.target is not None:
@@ -188,45 +192,45 @@
                 )
                 self._cancel(run)
 
-    def _collect(self):
-        """Bring the runs in line with the books and the parts owned."""
+    def _reconcile_runs(self):
+        """Reconcile the runs with the job table and the owned partitions."""
         seen = set()
         configuration = self._get_configuration()
         if configuration is None:
             return
         job_table = self._storage.job_table
-        state = (configuration.version, self.owned, job_table.version)
-        if state == self._collected:
+        state = (configuration.version, self.owned_partitions, job_table.version)
+        if state == self._reconciled_state:
             return
-        self._collected = state
-        if not self.owned and not self._runs:
+        self._reconciled_state = state
+        if not self.owned_partitions and not self._runs:
             return
-        for found in list(job_table.open_jobs.values()):
-            part = ownership.find_part(found.id, self._parts)
-            if part not in self.owned:
+        for job in list(job_table.open_jobs.values()):
+            partition = ownership.find_partition(job.id, self._partition_count)
+            if partition not in self.owned_partitions:
                 continue
-            route = configuration.find_batch(found.host, found.path)
+            route = configuration.find_batch(job.host, job.path)
             if route is None:
-                # The operator may bring the route back; its jobs wait.
+                # The route may be restored; its jobs stay queued until then.
                 continue
-            self._collect_job(found, part, route, seen)
+            self._reconcile_job(job, partition, route, seen)
         for key, run in list(self._runs.items()):
             if key not in seen:
-                self._hand_over(key, run, HAND_OVER_S)
+                self._hand_over(key, run, HANDOVER_TIMEOUT_S)
                 del self._runs[key]
 
-    def _collect_job(self, found, part, route, seen):
+    def _reconcile_job(self, job, partition, route, seen):
         runs = []
-        for number in range(len(found.items)):
-            key = (found.id, number)
-            if not found.needs_run(number) or key in self._listing:
+        for number in range(len(job.items)):
+            key = (job.id, number)
+            if not job.needs_run(number) or key in self._results_in_flight:
                 continue
             seen.add(key)
             run = self._runs.get(key)
-            if run is None or run.job is not found:
+            if run is None or run.job is not job:
                 if run is not None:
                     self._cancel(run)
-                run = self._make_run(found, number, route)
+                run = self._make_run(job, number, route)
                 self._runs[key] = run
             if run.route is not route:
                 run.route = route
@@ -234,71 +238,82 @@
             if run.transcript.body is None and run.not_before <= time.monotonic():
                 runs.append(run)
         if runs:
-            self._preparation.prepare(found, part)
+            self._prefetcher.start_reading(job, partition)
 
-    def _make_run(self, found, number, route):
-        made = transcript.Transcript(self._storage, found, number)
-        taken = self._service_times.setdefault(route.name, service_time.ServiceTime())
-        return execution.Run(found, route, route.choose_service(), made, taken)
+    def _make_run(self, job, number, route):
+        item_transcript = transcript.Transcript(self._storage, job, number)
+        route_service_time = self._service_times.setdefault(
+            route.name, service_time.ServiceTime()
+        )
+        return execution.Run(
+            job, route, route.choose_service(), item_transcript, route_service_time
+        )
 
-    def _take_contents(self, job_id, named):
-        """Take what was read of a job: its bodies, and texts that others recorded."""
+    def _on_contents_read(self, job_id, contents):
+        """Pass the bodies and checkpoints read for a job to its runs."""
         for key, run in self._runs.items():
             if key[0] == job_id and run.transcript.body is None:
                 try:
-                    run.transcript.take_contents(named)
+                    run.transcript.load(contents)
                 except exception.LogError as error:
-                    # Its body is dropped once it is listed, which is not read yet.
+                    # The body is gone if the item has a result that is not read yet.
                     decision.note_request("item.delayed", run.item.id, why=str(error))
-                    run.not_before = time.monotonic() + FAILURE_PAUSE_S
+                    run.not_before = time.monotonic() + INITIAL_BACKOFF_S
                     loop = asyncio.get_running_loop()
-                    loop.call_later(FAILURE_PAUSE_S, self._look_again)
+                    loop.call_later(INITIAL_BACKOFF_S, self._retry_reconcile)
         self.wake()
 
-    def _look_again(self):
-        self._collected = None
+    def _retry_reconcile(self):
+        self._reconciled_state = None
         self.wake()
 
-    def _give_up_removed(self):
-        """List the items of jobs whose route was removed as not done."""
+    def _abandon_items_without_route(self):
+        """Record the items of jobs without a route as not done."""
         now = time.monotonic()
         configuration = self._get_configuration()
-        if configuration is None or now < self._next_removed_at:
+        if configuration is None or now < self._next_removed_check_at:
             return
-        self._next_removed_at = now + REMOVED_EVERY_S
+        self._next_removed_check_at = now + REMOVED_ROUTES_INTERVAL_S
         job_table = self._storage.job_table
-        for job in self._removed.list_given_up(job_table, configuration, now):
-            if ownership.find_part(job.id, self._parts) not in self.owned:
+        for job in self._removed_routes.list_abandoned(job_table, configuration, now):
+            if (
+                ownership.find_partition(job.id, self._partition_count)
+                not in self.owned_partitions
+            ):
                 continue
             for number in range(len(job.items)):
                 if job.needs_run(number):
-                    made = transcript.Transcript(self._storage, job, number)
-                    self._end_removed((job.id, number), made)
+                    item_transcript = transcript.Transcript(self._storage, job, number)
+                    self._abandon_item((job.id, number), item_transcript)
 
-    def _end_removed(self, key, made):
-        if key in self._ending:
+    def _abandon_item(self, key, item_transcript):
+        if key in self._abandoning:
             return
 
-        async def end():
+        async def record_result():
             try:
-                await made.give_up(RECORD_TIMEOUT_S)
+                await item_transcript.give_up(RECORD_TIMEOUT_S)
                 outcome = "route_removed"
-                decision.note_request("item.given_up", made.item.id, outcome=outcome)
+                decision.note_request(
+                    "item.given_up", item_transcript.item.id, outcome=outcome
+                )
             except exception.LogError as error:
-                decision.note_request("item.delayed", made.item.id, why=str(error))
+                decision.note_request(
+                    "item.delayed", item_transcript.item.id, why=str(error)
+                )
             finally:
-                self._ending.discard(key)
+                self._abandoning.discard(key)
 
-        self._ending.add(key)
-        self._keep(end())
+        self._abandoning.add(key)
+        self._start_background(record_result())
 
-    def _keep(self, work):
-        """Run some work on records until it ends or this entry stops."""
-        task = asyncio.create_task(work)
+    def _start_background(self, coroutine):
+        """Run a coroutine that `close` waits for."""
+        task = asyncio.create_task(coroutine)
         self._saving.add(task)
         task.add_done_callback(self._saving.discard)
 
-    def _start_waiting(self):
+    def _start_ready(self):
         now = time.monotonic()
         unix_now = time.time()
         waiting = [
@@ -311,17 +326,17 @@
         ready = []
         for run in batch_queue.order_items(waiting, unix_now):
             given_up_at = run.job.submitted_s + run.route.abandon_after_s
-            if unix_now > given_up_at + CLOCK_MARGIN_S:
-                self._spawn(run, self._list_dead(run, "abandoned"))
+            if unix_now > given_up_at + CLOCK_SKEW_MARGIN_S:
+                self._spawn(run, self._record_dead(run, "abandoned"))
             elif run.transcript.failures >= run.route.max_attempts:
-                self._spawn(run, self._list_dead(run, "failed"))
+                self._spawn(run, self._record_dead(run, "failed"))
             else:
                 ready.append(run)
-        self._tell_pending(ready, unix_now)
-        if ready and now >= self._next_round_at:
+        self._publish_pending(ready, unix_now)
+        if ready and now >= self._next_start_at:
             self._start_share(ready, now)
 
-    def _tell_pending(self, ready, now):
+    def _publish_pending(self, ready, now):
         by_service = {}
         for run in ready:
             by_service.setdefault(run.service, []).append(run)
@@ -334,13 +349,13 @@
             self._on_change()
 
     def _start_share(self, ready, now):
-        """Start as many items as are this entry's share of the free places."""
+        """Start this entry's share of the items that fit into the free slots."""
         allowed = {}
         for service in {run.service for run in ready}:
             room = target_choice.count_room(self._table.list_service(service), now)
-            own = self.neighbours.pending.get(service, 0)
+            own_pending = self.neighbours.pending.get(service, 0)
             others = max(0, self.neighbours.peers_pending[service])
-            allowed[service] = batch_queue.count_starts(room, own, others)
+            allowed[service] = batch_queue.count_starts(room, own_pending, others)
         for run in ready:
             if not allowed[run.service]:
                 continue
@@ -351,8 +366,8 @@
                 allowed[run.service] = 0
                 continue
             allowed[run.service] -= 1
-            # What starts here is known to the others only after that.
-            self._next_round_at = now + self.neighbours.round_s
+            # Peers learn of items started here only after a round.
+            self._next_start_at = now + self.neighbours.round_s
             self._start(run, target)
 
     def _start(self, run, target):
@@ -368,18 +383,18 @@
             left_s=run.left_s,
             due_in_s=run.due_at - time.time(),
         )
-        run.is_whole = False
+        run.is_complete = False
         run.target = target
         target.batch += 1
         self._on_change()
         self._spawn(run, self._run_item(run, target))
 
-    def _spawn(self, run, work):
+    def _spawn(self, run, coroutine):
         async def guard():
             try:
-                await work
+                await coroutine
             except exception.LogError as error:
-                run.not_before = time.monotonic() + FAILURE_PAUSE_S
+                run.not_before = time.monotonic() + INITIAL_BACKOFF_S
                 decision.note_request("item.delayed", run.item.id, why=str(error))
             finally:
                 if run.task is asyncio.current_task():
@@ -402,33 +417,33 @@
             task.cancel()
 
     def _hand_over(self, key, run, timeout_s):
-        """Stop a run and record how far it is, for whoever goes on.
+        """Stop a run and write its final checkpoint for the next owner.
 
-        Neighbours wait for it (see `pimentowick.gateway.handover`). A text that is
-        whole goes on being listed: while the store is away, items end that would all
-        have to run again.
+        The next owner waits for it (see `pimentowick.gateway.handover`). If the text
+        is complete, its result is still recorded, so that items which finish during
+        an outage of the store do not run again.
         """
-        part = ownership.find_part(run.job.id, self._parts)
-        if run.is_whole and run.task is not None:
-            self._listing.add(key)
+        partition = ownership.find_partition(run.job.id, self._partition_count)
+        if run.is_complete and run.task is not None:
+            self._results_in_flight.add(key)
             task = run.task
         else:
             self._cancel(run)
-            last = execution.save_last(run.transcript, timeout_s)
-            task = asyncio.create_task(last)
-        self._recording[part] += 1
+            final_checkpoint = execution.save_final(run.transcript, timeout_s)
+            task = asyncio.create_task(final_checkpoint)
+        self._recordings_in_flight[partition] += 1
         self._saving.add(task)
-        task.add_done_callback(lambda done: self._end_recording(key, part, done))
+        task.add_done_callback(lambda done: self._on_recorded(key, partition, done))
 
-    def _end_recording(self, key, part, task):
+    def _on_recorded(self, key, partition, task):
         self._saving.discard(task)
-        self._recording[part] -= 1
-        if not self._recording[part]:
-            del self._recording[part]
-        if key in self._listing:
-            self._listing.discard(key)
-            # Not listed after all, it is looked at again.
-            self._collected = None
+        self._recordings_in_flight[partition] -= 1
+        if not self._recordings_in_flight[partition]:
+            del self._recordings_in_flight[partition]
+        if key in self._results_in_flight:
+            self._results_in_flight.discard(key)
+            # If no result was recorded, the item has to run again.
+            self._reconciled_state = None
         self._on_change()
         self.wake()
 
@@ -452,30 +467,30 @@
         )
         run.service_time.note_run(sink.events, time.monotonic() - started_at)
         self._release(run)
-        await self._conclude(run, outcome, sink)
+        await self._handle_outcome(run, outcome, sink)
 
-    async def _conclude(self, run, outcome, sink):
+    async def _handle_outcome(self, run, outcome, sink):
         if outcome.end == upstream.End.WHOLE and outcome.status == 200:
-            if sink.is_whole() and run.transcript.last_event is not None:
+            if sink.is_complete() and run.transcript.last_event is not None:
                 run.service_time.note_item(run.transcript.count_events())
-                run.is_whole = True
+                run.is_complete = True
                 await run.transcript.finish(RECORD_TIMEOUT_S)
                 return
         if outcome.end == upstream.End.WHOLE and outcome.status == 422:
-            await self._list_dead(run, "impossible")
+            await self._record_dead(run, "impossible")
             return
         if outcome.end == upstream.End.WHOLE and outcome.status == 500:
-            await run.transcript.note_failure(RECORD_TIMEOUT_S)
+            await run.transcript.record_failure(RECORD_TIMEOUT_S)
         if sink.events:
             run.failures = 0
         run.failures += 1
-        pause = FAILURE_PAUSE_S * 2 ** (run.failures - 1)
+        backoff_s = INITIAL_BACKOFF_S * 2 ** (run.failures - 1)
         if outcome.end == upstream.End.NOT_RUN:
-            pause = UNREACHED_PAUSE_S
+            backoff_s = UNREACHABLE_BACKOFF_S
             run.failures = 0
-        run.not_before = time.monotonic() + min(pause, LONGEST_PAUSE_S)
+        run.not_before = time.monotonic() + min(backoff_s, MAX_BACKOFF_S)
 
-    async def _list_dead(self, run, why):
+    async def _record_dead(self, run, why):
         await run.transcript.give_up(RECORD_TIMEOUT_S)
         decision.note_request(
             "item.given_up",
--- a/pimentowick/gateway/tests/test_handover.py
+++ b/pimentowick/gateway/tests/test_handover.py
@@ -9,117 +9,128 @@
 from pimentowick.gateway.tests import test_neighbour
 
 
-class Storage:
-    """All jobs of an entry, which are up to date."""
+class FakeStorage:
+    """A job storage that is always up to date."""
 
     async def refresh(self):
         pass
 
 
-class Runner:
+class FakeRunner:
     def __init__(self):
-        self.owned = frozenset()
-        self.recording = frozenset()
+        self.owned_partitions = frozenset()
+        self.recording_partitions = frozenset()
 
-    def own(self, parts):
-        self.owned = frozenset(parts)
+    def set_partitions(self, partitions):
+        self.owned_partitions = frozenset(partitions)
 
 
-def make_handover(parts, is_alone=False):
-    found, *_ = test_neighbour.make_neighbours()
-    member = types.SimpleNamespace(parts=frozenset(parts), is_alone=is_alone)
-    ours = Runner()
-    return handover.Handover(member, ours, Storage(), found), ours, found
+def make_handover(partitions, released_while_cut_off=False):
+    neighbours, *_ = test_neighbour.make_neighbours()
+    fake_ownership = types.SimpleNamespace(
+        partitions=frozenset(partitions), released_while_cut_off=released_while_cut_off
+    )
+    batch_runner = FakeRunner()
+    return (
+        handover.Handover(fake_ownership, batch_runner, FakeStorage(), neighbours),
+        batch_runner,
+        neighbours,
+    )
 
 
-def tell_parts(found, number, parts):
+def send_partitions(neighbours, number, partitions):
     data = {"from": "other:2", "number": number, "loads": {}, "pending": {}}
-    data |= {"waiting": {}, "parts": parts}
-    found.datagram_received(orjson.dumps(data), ("other", 2))
+    data |= {"waiting": {}, "parts": partitions}
+    neighbours.datagram_received(orjson.dumps(data), ("other", 2))
 
 
-def test_part_is_left_to_its_holder_until_that_has_recorded_its_texts():
-    # The store is back after an outage in which all leases have lapsed, and deals all
-    # parts to the first entry that renews. The others still run theirs, and hear of it
-    # a second later. Run at once, each item would run twice, from an old text.
+def test_partition_is_taken_over_after_its_owner_wrote_checkpoints():
+    # After an outage in which all leases expired, the first entry to renew is assigned
+    # all partitions. If it started at once, items would run twice from old checkpoints.
     async def run():
-        found, ours, others = make_handover({1, 2, 3})
-        tell_parts(others, 1, [2, 3])
-        task = asyncio.create_task(found.take_over())
-        await wait.wait_for(lambda: ours.owned, 5, 0.005)
-        assert ours.owned == {1}
-        tell_parts(others, 2, [3])
-        await wait.wait_for(lambda: 2 in ours.owned, 5, 0.005)
-        assert ours.owned == {1, 2}
-        tell_parts(others, 3, [])
+        coordinator, batch_runner, neighbours = make_handover({1, 2, 3})
+        send_partitions(neighbours, 1, [2, 3])
+        task = asyncio.create_task(coordinator.take_over())
+        await wait.wait_for(lambda: batch_runner.owned_partitions, 5, 0.005)
+        assert batch_runner.owned_partitions == {1}
+        send_partitions(neighbours, 2, [3])
+        await wait.wait_for(lambda: 2 in batch_runner.owned_partitions, 5, 0.005)
+        assert batch_runner.owned_partitions == {1, 2}
+        send_partitions(neighbours, 3, [])
         await asyncio.wait_for(task, 5)
-        assert ours.owned == {1, 2, 3}
+        assert batch_runner.owned_partitions == {1, 2, 3}
 
     asyncio.run(run())
 
 
-def test_parts_of_a_silent_neighbour_are_taken_at_once():
-    # Their holder lost power; nothing is recorded any more.
+def test_partitions_of_a_silent_peer_are_taken_over_at_once():
+    # The owner has crashed and writes no more checkpoints.
     async def run():
-        found, ours, others = make_handover({1})
-        tell_parts(others, 1, [1])
-        others.peers["other:2"].heard_at -= neighbour.SILENT_S
-        await found.take_over()
-        assert ours.owned == {1}
+        coordinator, batch_runner, neighbours = make_handover({1})
+        send_partitions(neighbours, 1, [1])
+        neighbours.peers["other:2"].heard_at -= neighbour.SILENT_S
+        await coordinator.take_over()
+        assert batch_runner.owned_partitions == {1}
 
     asyncio.run(run())
 
 
-def test_holder_that_never_lets_go_is_not_waited_for_longer_than_a_lease(monkeypatch):
-    monkeypatch.setattr(handover, "LONGEST_WAIT_S", 0.0)
+def test_wait_for_an_owner_that_never_releases_is_bounded(monkeypatch):
+    monkeypatch.setattr(handover, "MAX_WAIT_S", 0.0)
 
     async def run():
-        found, ours, others = make_handover({1})
-        tell_parts(others, 1, [1])
-        await found.take_over()
-        assert ours.owned == {1}
+        coordinator, batch_runner, neighbours = make_handover({1})
+        send_partitions(neighbours, 1, [1])
+        await coordinator.take_over()
+        assert batch_runner.owned_partitions == {1}
 
     asyncio.run(run())
 
 
-def test_lost_parts_are_given_up_before_new_ones_come():
+def test_lost_partitions_are_released_before_new_ones_are_taken():
     async def run():
-        found, ours, others = make_handover({1, 2})
-        ours.owned = frozenset({1, 7})
-        tell_parts(others, 1, [2])
-        task = asyncio.create_task(found.take_over())
-        await wait.wait_for(lambda: 7 not in ours.owned, 5, 0.005)
-        assert ours.owned == {1}
+        coordinator, batch_runner, neighbours = make_handover({1, 2})
+        batch_runner.owned_partitions = frozenset({1, 7})
+        send_partitions(neighbours, 1, [2])
+        task = asyncio.create_task(coordinator.take_over())
+        await wait.wait_for(lambda: 7 not in batch_runner.owned_partitions, 5, 0.005)
+        assert batch_runner.owned_partitions == {1}
         task.cancel()
 
     asyncio.run(run())
 
 
-def test_texts_that_cannot_be_recorded_hold_no_part():
-    # An entry that alone lost the store gives its parts up; waiting for its texts would
-    # leave the items standing for seconds.
-    found, ours, _ = make_handover({1}, is_alone=True)
-    ours.owned, ours.recording = frozenset({1}), frozenset({2})
-    assert found.list_held_partitions() == {1}
-    found, ours, _ = make_handover({1})
-    ours.owned, ours.recording = frozenset({1}), frozenset({2})
-    assert found.list_held_partitions() == {1, 2}
-
-
-def test_entry_that_was_just_started_listens_before_it_takes_parts():
-    # An entry is back from its restart at the end of an outage and is the first to
-    # renew: it is dealt the parts of all, and has not heard yet that they run.
+def test_unwritable_checkpoints_hold_no_partition():
+    # An entry that alone has lost the store cannot write checkpoints. Waiting for them
+    # would leave the items idle.
+    coordinator, batch_runner, _ = make_handover({1}, released_while_cut_off=True)
+    batch_runner.owned_partitions, batch_runner.recording_partitions = (
+        frozenset({1}),
+        frozenset({2}),
+    )
+    assert coordinator.list_held_partitions() == {1}
+    coordinator, batch_runner, _ = make_handover({1})
+    batch_runner.owned_partitions, batch_runner.recording_partitions = (
+        frozenset({1}),
+        frozenset({2}),
+    )
+    assert coordinator.list_held_partitions() == {1, 2}
+
+
+def test_restarted_entry_listens_before_it_takes_partitions():
+    # A restarted entry renews first and is assigned all partitions before it has heard
+    # that other entries still run them.
     async def run():
-        found, ours, others = make_handover({1})
-        others._started_at = time.monotonic()
-        task = asyncio.create_task(found.take_over())
+        coordinator, batch_runner, neighbours = make_handover({1})
+        neighbours._started_at = time.monotonic()
+        task = asyncio.create_task(coordinator.take_over())
         await asyncio.sleep(0.1)
-        tell_parts(others, 1, [1])
-        others._started_at -= neighbour.LISTEN_S
+        send_partitions(neighbours, 1, [1])
+        neighbours._started_at -= neighbour.LISTEN_S
         await asyncio.sleep(0.1)
-        assert not ours.owned
-        tell_parts(others, 2, [])
+        assert not batch_runner.owned_partitions
+        send_partitions(neighbours, 2, [])
         await asyncio.wait_for(task, 5)
-        assert ours.owned == {1}
+        assert batch_runner.owned_partitions == {1}
 
     asyncio.run(run())
