--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -67,7 +67,7 @@
     asyncio.run(run())
 
 
-def test_job_is_listed_alike_at_all_entries():
+def test_results_are_the_same_at_all_entries():
     async def check(site):
         assert (await submit(site, make_body(5))).status == 202
         first = await read_all(site, 5)
@@ -80,8 +80,8 @@
     run_with([replica.Replica()], check, entries=2)
 
 
-def test_job_that_is_sent_again_is_accepted_once():
-    # The caller gets no answer and sends the job again, to another entry.
+def test_retried_submission_is_accepted_once():
+    # The caller retries the submission at another entry.
     server = replica.Replica()
 
     async def check(site):
@@ -96,9 +96,9 @@
     run_with([server], check, entries=2)
 
 
-def test_append_whose_answer_is_lost_lists_the_job_once():
-    # The store takes the append and its answer is lost. Appended again, the job
-    # would stand twice; refused, it would run although the caller was told not.
+def test_append_with_a_lost_answer_records_the_job_once():
+    # The append succeeds but its acknowledgement is lost. A retry must not duplicate
+    # the job, and a refusal would be wrong since the job runs.
     async def check(site):
         site.store.board.place(
             faults.Order("lose_answer", count=2, path="/-/log-append")
@@ -116,9 +116,9 @@
     run_with([replica.Replica()], check)
 
 
-def test_append_that_may_still_land_is_not_called_refused():
-    # The store is silent, and the append may take effect seconds later. A 503 would
-    # promise that nothing of the job ever runs.
+def test_append_in_doubt_is_not_reported_as_refused():
+    # The store hangs and may apply the append later. A 503 would promise that the job
+    # never runs.
     async def check(site):
         contents = site.gateways[0].storage.contents
         put = contents.put
@@ -135,8 +135,8 @@
     run_with([replica.Replica()], check)
 
 
-def test_job_is_refused_while_the_store_turns_all_away():
-    # The store answers 503: nothing was done, so the refusal is true.
+def test_job_is_refused_while_the_store_rejects_appends():
+    # The store rejects appends with 503 and has not applied them.
     async def check(site):
         site.store.board.place(faults.Order("down", path="/-/log-append"))
         assert (await submit(site, make_body(2))).status == 503
@@ -158,9 +158,9 @@
     run_with([replica.Replica()], check)
 
 
-def test_run_that_breaks_off_goes_on_after_its_last_event():
-    # A target crashes in the middle of an item. The text that is there is kept, and
-    # every event stands in it once.
+def test_interrupted_run_resumes_after_its_last_event():
+    # A target crashes in the middle of an event. The item resumes after the last whole
+    # event, and no event is duplicated or lost.
     server = replica.Replica()
     server.plan = [
         replica.Behaviour(cut_after=2, half_event=True, held=True),
@@ -179,9 +179,8 @@
 
 
 @pytest.mark.parametrize(("kind", "runs"), [("fail", 3), ("impossible", 1)])
-def test_item_that_can_never_be_done_is_given_up(kind, runs):
-    # An item fails at each run, or the target says that it can never be done. Tried
-    # for ever, it would hold a place that others wait for.
+def test_item_that_always_fails_is_given_up(kind, runs):
+    # Without a limit, an item that always fails would occupy a slot indefinitely.
     server = replica.Replica()
     server.plan = [replica.Behaviour(kind) for _ in range(10)]
 
@@ -194,8 +193,8 @@
     run_with([server], check)
 
 
-def test_ended_job_stops_and_keeps_what_is_listed():
-    # A caller ends a job at an entry that does not run it.
+def test_cancelled_job_stops_and_keeps_its_results():
+    # The job is cancelled at an entry that does not run it.
     server = replica.Replica(events=400, gap_s=0.02)
 
     async def check(site):
@@ -211,7 +210,7 @@
     run_with([server], check, entries=2)
 
 
-def test_body_of_an_item_is_given_until_it_is_listed():
+def test_body_of_an_item_can_be_read_until_it_has_a_result():
     server = replica.Replica(events=400, gap_s=0.02)
 
     async def check(site):
@@ -224,9 +223,8 @@
     run_with([server], check, entries=2)
 
 
-def test_job_of_another_caller_is_not_shown():
-    # Rivals share the fleet: whoever knows a job's identifier reads it only under
-    # the host that it was submitted to.
+def test_job_of_another_host_is_not_found():
+    # A job can be read only under the host header of its submission.
     async def check(site):
         await submit(site, make_body(1))
         answer = await site.client.fetch(
@@ -240,8 +238,8 @@
     run_with([replica.Replica()], check)
 
 
-def test_entry_that_is_not_sure_does_not_say_unknown():
-    # The store is away, and another entry may have accepted the job meanwhile.
+def test_unknown_job_is_503_while_the_store_is_unavailable():
+    # Another entry may have accepted the job during the outage.
     async def check(site):
         site.store.board.place(faults.Order("down"))
         status, _ = await read(site)
@@ -250,9 +248,8 @@
     run_with([replica.Replica()], check)
 
 
-def test_another_entry_takes_over_after_the_recorded_text():
-    # The entry that runs an item stops. Its successor goes on after the events that
-    # were recorded.
+def test_another_entry_resumes_from_the_checkpoints():
+    # The entry that runs the items drains; the next owner resumes from the checkpoints.
     server = replica.Replica(events=60, gap_s=0.02)
 
     async def check(site):
@@ -266,15 +263,15 @@
         (entry,) = await wait.wait_for(find_running, 10, 0.01)
         await asyncio.wait_for(site.gateways[entry].drain(), 20)
         results = await read_all(site, 8, entry=1 - entry)
-        wanted = "\n".join(f"word {n}" for n in range(1, 61))
-        assert {row["text"] for row in results} == {wanted}
+        expected_text = "\n".join(f"word {n}" for n in range(1, 61))
+        assert {row["text"] for row in results} == {expected_text}
         assert any("Last-Event-Id" in headers for headers in server.headers)
 
     run_with([server], check, entries=2)
 
 
-def test_new_entry_learns_all_jobs_from_the_newest_records():
-    # An entry starts after the log has dropped its old records.
+def test_new_entry_loads_all_jobs_from_a_snapshot():
+    # The log is truncated before the new entry starts.
     async def check(site):
         await submit(site, make_body(3))
         first = await read_all(site, 3)
@@ -286,14 +283,13 @@
     run_with([replica.Replica()], check)
 
 
-def test_bodies_of_listed_items_leave_the_store_and_results_stay():
-    # Bodies are most of what lasts. All entries read it when they return from a loss
-    # of power, and would read bodies that nobody asks for any more.
+def test_bodies_are_deleted_and_results_kept_after_completion():
+    # Bodies are most of the stored bytes and are not needed once an item has a result.
     async def check(site):
         assert (await submit(site, make_body(4, size=5000))).status == 202
-        found = await read_all(site, 4)
+        results = await read_all(site, 4)
 
-        def list_needless():
+        def list_unneeded_keys():
             return [
                 key
                 for partition in site.store.partitions.values()
@@ -301,18 +297,18 @@
                 if key.startswith(("job1/b/", "job1/t/"))
             ]
 
-        await wait.wait_for(lambda: not list_needless(), 10, 0.01)
+        await wait.wait_for(lambda: not list_unneeded_keys(), 10, 0.01)
         fresh = await site.start_entry()
         number = site.gateways.index(fresh)
-        assert await read_all(site, 4, entry=number) == found
+        assert await read_all(site, 4, entry=number) == results
         status, data = await read(site, after=4, entry=number)
         assert (status, data["results"]) == (200, [])
 
     run_with([replica.Replica()], check)
 
 
-class Unreadable:
-    """A store of which one topic cannot be read."""
+class UnreadableStore:
+    """A store whose reads fail."""
 
     async def read(self, *args):
         raise exception.LogError("away")
@@ -321,12 +317,12 @@
 
 
 def test_job_is_refused_while_not_all_jobs_are_read():
-    # An entry returns from a loss of power and reads all jobs through a small link.
-    # It serves online requests already; what waits for the quota it does not know.
+    # An entry is ready for online requests before all jobs are loaded; the quota cannot
+    # be checked yet.
     async def check(site):
         gateway = site.gateways[0]
         followed = gateway.storage.accepted.feed
-        reachable, followed.store = followed.store, Unreadable()
+        reachable, followed.store = followed.store, UnreadableStore()
         followed.end = None
         assert gateway.is_ready
         answer = await submit(site, make_body(1))
@@ -339,24 +335,23 @@
     run_with([replica.Replica()], check)
 
 
-def test_items_of_a_removed_route_are_given_up_after_a_while(monkeypatch):
-    # The operator removes a route for good while a job of it is open. Its items can
-    # never run; without an end the job's reader would wait for good.
+def test_items_of_a_removed_route_are_given_up_after_the_grace_period(monkeypatch):
+    # The items can never run. Without a result, readers would wait indefinitely.
     monkeypatch.setattr(route_removal, "GRACE_S", 0.2)
-    monkeypatch.setattr(runner, "REMOVED_EVERY_S", 0.05)
+    monkeypatch.setattr(runner, "REMOVED_ROUTES_INTERVAL_S", 0.05)
 
     async def check(site):
         server = site.replicas[0]
         server.plan = [replica.Behaviour("silent")] * 9
         assert (await submit(site, make_body(2))).status == 202
         site.publish([route for route in ROUTES if route is not BATCH])
-        found = await read_all(site, 2)
-        assert [row["state"] for row in found] == ["dead", "dead"]
+        results = await read_all(site, 2)
+        assert [row["state"] for row in results] == ["dead", "dead"]
 
     run_with([replica.Replica()], check)
 
 
-def test_jobs_wait_for_a_route_that_comes_back():
+def test_jobs_run_after_their_route_is_restored():
     async def check(site):
         site.publish([route for route in ROUTES if route is not BATCH])
         await wait.wait_for(
@@ -367,15 +362,15 @@
             lambda: len(site.gateways[0].configuration.current.routes) == 2, 10, 0.01
         )
         assert (await submit(site, make_body(2))).status == 202
-        found = await read_all(site, 2)
-        assert [row["state"] for row in found] == ["done", "done"]
+        results = await read_all(site, 2)
+        assert [row["state"] for row in results] == ["done", "done"]
 
     run_with([replica.Replica()], check)
 
 
-async def start_whole_item(site, server):
-    """Return the gateway at which an item has ended that can't be listed."""
-    # Ended before the store is away, the item could be listed after all.
+async def start_unrecorded_item(site, server):
+    """Return the gateway where an item has completed during an outage of the store."""
+    # The item must complete after the outage began, or its result would be recorded.
     server.holds_last = True
     assert (await submit(site, make_body(1))).status == 202
     await wait.wait_for(lambda: server.running, 10, 0.005)
@@ -384,68 +379,68 @@
 
     def find():
         for gateway in site.gateways:
-            if any(run.is_whole for run in gateway.runner.list_runs()):
+            if any(run.is_complete for run in gateway.runner.list_runs()):
                 return gateway
 
     return await wait.wait_for(find, 10, 0.005)
 
 
-def test_item_that_ended_during_an_outage_is_listed_though_its_part_is_lost():
-    # The store is away for seconds. Items end meanwhile; with the store's return all
-    # parts are dealt anew. Dropped for that, their texts would all be made again.
+def test_item_completed_in_an_outage_is_recorded_after_its_partition_is_lost():
+    # Partitions are reassigned when the store recovers. The completed text must not be
+    # discarded, or the item would run again.
     server = replica.Replica(events=10, gap_s=0.02)
 
     async def check(site):
-        found = (await start_whole_item(site, server)).runner
-        found.own(frozenset())
-        assert found.recording
+        batch_runner = (await start_unrecorded_item(site, server)).runner
+        batch_runner.set_partitions(frozenset())
+        assert batch_runner.recording_partitions
         site.store.board.place(faults.Order("clear"))
         (row,) = await read_all(site, 1)
         assert row["state"] == "done"
         assert server.runs == {"item0": 1}
-        await wait.wait_for(lambda: not found.recording, 10, 0.005)
+        await wait.wait_for(lambda: not batch_runner.recording_partitions, 10, 0.005)
 
     run_with([server], check)
 
 
-def test_entry_that_stops_during_an_outage_lists_what_it_has_when_the_store_is_back():
-    # Hosts are restarted while the store is away for a few seconds, less than a
-    # process has to end. Given up sooner, all that ran there would be made again.
+def test_draining_entry_records_results_after_an_outage():
+    # A drain outlasts a short outage of the store. Otherwise all items that completed
+    # at this entry would run again.
     server = replica.Replica(events=10, gap_s=0.02)
 
     async def check(site):
-        found = await start_whole_item(site, server)
-        draining = asyncio.create_task(found.drain())
-        await wait.wait_for(lambda: found.runner.recording, 10, 0.005)
+        gateway = await start_unrecorded_item(site, server)
+        draining = asyncio.create_task(gateway.drain())
+        await wait.wait_for(lambda: gateway.runner.recording_partitions, 10, 0.005)
         await asyncio.wait({draining}, timeout=daemon.UNREADY_S + 0.2)
         assert not draining.done()
         site.store.board.place(faults.Order("clear"))
         await asyncio.wait_for(draining, 20)
-        (row,) = await read_all(site, 1, entry=1 - site.gateways.index(found))
+        (row,) = await read_all(site, 1, entry=1 - site.gateways.index(gateway))
         assert row["state"] == "done"
         assert server.runs == {"item0": 1}
 
     run_with([server], check, entries=2)
 
 
-def test_entry_that_alone_lost_the_store_sends_jobs_elsewhere_at_once():
-    # The store turns one entry away and serves the others. A caller of that entry would
-    # wait three seconds for a refusal, where another entry accepts within its time.
+def test_cut_off_entry_refuses_jobs_at_once():
+    # Only one entry is rejected by the store. It must refuse at once, so that callers
+    # retry elsewhere within their timeouts.
     async def check(site):
-        cut = site.gateways[0]
+        gateway = site.gateways[0]
         assert (await submit(site, make_body(1), "known", entry=1)).status == 202
-        jobs = cut.storage.job_table.jobs
+        jobs = gateway.storage.job_table.jobs
         await wait.wait_for(lambda: "known" in jobs, 10, 0.01)
-        cut._supervisor.stop_child("ownership")
+        gateway._supervisor.stop_child("ownership")
         site.store.board.place(faults.Order("stall"))
-        found = cut.ownership._reachability
-        found.see_others = lambda now, others_renewed_at: False
-        found._passed_at, found._is_proved = time.monotonic(), True
-        cut.store.reached_at = float("-inf")
+        reachability = gateway.ownership._reachability
+        reachability.see_others = lambda now, others_renewed_at: False
+        reachability._passed_at, reachability._is_proved = time.monotonic(), True
+        gateway.store.reached_at = float("-inf")
         answer = await asyncio.wait_for(submit(site, make_body(2)), 5)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) < 0.1
-        # A repeat of a job that is known to be accepted is not refused.
+        # A retried submission of an accepted job needs no store.
         assert (await submit(site, make_body(1), "known")).status == 202
         status, _ = await read(site, after=9, job_id="unknown")
         assert status == 503
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -12,15 +12,14 @@
 
 
 def count_read(gateway):
-    """Return the bytes of jobs that an entry has read since its start."""
+    """Return the bytes of job records that an entry has read since its start."""
     read = gateway.store.bytes
     return sum(read[name, "in"] for name in ("newest", "read"))
 
 
-def test_entry_that_starts_reads_neither_bodies_nor_texts():
-    # All hosts lose power and start together. Each reading all bodies and texts of the
-    # last two minutes, they share the store's way out for tens of seconds: jobs can't
-    # be read, reads are given up half-way and begun anew.
+def test_starting_entry_reads_no_bodies_or_texts():
+    # All hosts restart together after a power failure. If each entry read all bodies
+    # and texts, the bandwidth of the store would delay reads by tens of seconds.
     route = platform_site.make_route("/lot/", "batch", run_target_ms=20_000)
 
     async def run():
@@ -41,15 +40,15 @@
     asyncio.run(run())
 
 
-def test_jobs_are_accepted_by_one_append_while_others_record_texts_and_results():
-    # Eighty entries record texts and list results while callers submit jobs. In one
-    # partition under one condition, each append would be overtaken by others.
-    async def check(outside, one, other):
+def test_checkpoints_and_results_do_not_conflict_with_accepting_jobs():
+    # Checkpoints and results must not advance the partition of accepted jobs, or the
+    # conditional appends there would keep failing.
+    async def check(fake_store, one, other):
         await one.accept()
-        made = [await one.open_transcript() for _ in range(20)]
-        for each in made:
-            each.add(event.Event(b"", "1", "a"))
-        partition = outside.get_partition("keyed.jobs", 0)
+        transcripts = [await one.open_transcript() for _ in range(20)]
+        for item_transcript in transcripts:
+            item_transcript.add(event.Event(b"", "1", "a"))
+        partition = fake_store.get_partition("keyed.jobs", 0)
         before = partition.end
         records = [b"record"]
 
@@ -58,9 +57,9 @@
             return []
 
         await asyncio.gather(
-            *(each.save(5) for each in made),
+            *(item_transcript.save(5) for item_transcript in transcripts),
             other.storage.accepted.commit(build, 5),
-            *(each.finish(5) for each in made[:1]),
+            *(item_transcript.finish(5) for item_transcript in transcripts[:1]),
         )
         assert partition.end == before
         assert records.count(b"built") == 1
@@ -68,17 +67,17 @@
     test_transcript.run_with(check)
 
 
-def test_content_is_read_after_the_log_has_dropped_its_record():
-    # The store forgets its history; the newest record of each key stays.
-    async def check(outside, one, other):
+def test_content_is_read_after_the_log_is_truncated():
+    # The log is truncated; the newest record of each key remains.
+    async def check(fake_store, one, other):
         contents = one.storage.contents
-        named = {f"b/{n}/w": bytes([n]) * 5_000 for n in range(4)}
-        written = await contents.put("j", named, 5)
+        contents_by_name = {f"b/{n}/w": bytes([n]) * 5_000 for n in range(4)}
+        written = await contents.put("j", contents_by_name, 5)
         await contents.put("k", {"b/0/w": b"rival"}, 5)
-        for partition in outside.partitions.values():
+        for partition in fake_store.partitions.values():
             partition.trim(partition.end)
         reading = other.storage.contents
-        assert await reading.read("j", list(written.values())) == named
+        assert await reading.read("j", list(written.values())) == contents_by_name
         with pytest.raises(content.MissingError):
             wrong = content.Reference("b/0/w", 0, 1, 4_999)
             await one.storage.contents.read("j", [wrong])
@@ -86,33 +85,37 @@
     test_transcript.run_with(check)
 
 
-def test_offset_that_holds_another_record_gives_no_other_content():
-    # A reference from an append that was done twice, or a store that was set up anew:
-    # another job's bytes would be handed out.
-    async def check(outside, one, other):
+def test_wrong_offset_does_not_return_another_content():
+    # After a duplicated append or a reset of the store, an offset may hold the bytes of
+    # another content.
+    async def check(fake_store, one, other):
         contents = one.storage.contents
         written = await contents.put("j", {"b/0/w": b"ours"}, 5)
-        found = written["b/0/w"]
-        odd = content.Reference(found.name, found.offset + 1, 1, found.size)
+        reference = written["b/0/w"]
+        wrong_reference = content.Reference(
+            reference.name, reference.offset + 1, 1, reference.size
+        )
         await contents.put("j", {"b/1/w": b"mine"}, 5)
-        assert await contents.read("j", [odd]) == {"b/0/w": b"ours"}
+        assert await contents.read("j", [wrong_reference]) == {"b/0/w": b"ours"}
 
     test_transcript.run_with(check)
 
 
 def test_content_is_written_although_answers_are_lost():
-    async def check(outside, one, other):
+    async def check(fake_store, one, other):
         order = faults.Order("lose_answer", count=2, path="/-/log-append")
-        outside.board.place(order)
+        fake_store.board.place(order)
         written = await one.storage.contents.put("j", {"b/0/w": b"body"}, 5)
-        named = await other.storage.contents.read("j", list(written.values()))
-        assert named == {"b/0/w": b"body"}
+        contents_by_name = await other.storage.contents.read(
+            "j", list(written.values())
+        )
+        assert contents_by_name == {"b/0/w": b"body"}
 
     test_transcript.run_with(check)
 
 
-def test_all_contents_of_a_job_are_dropped_with_it_and_no_others():
-    async def check(outside, one, other):
+def test_deleting_contents_of_a_job_keeps_those_of_others():
+    async def check(fake_store, one, other):
         contents = one.storage.contents
         await contents.put("j", {"b/0/w": b"body", "t/0/x": b"piece"}, 5)
         kept = await contents.put("j2", {"b/0/w": b"body"}, 5)
@@ -123,87 +126,89 @@
     test_transcript.run_with(check)
 
 
-# Longer than any of these tests waits: calls that are not answered stay open.
-NEVER_S = 300.0
+# Exceeds every timeout in these tests.
+UNANSWERED_S = 300.0
 
 
-async def lose_first_answer(outside, late_s, work):
-    """Run some work of which the first append gets no answer; return its result."""
-    appends = outside.calls["/-/log-append"]
-    outside.late_s = late_s
+async def run_with_first_answer_lost(fake_store, late_s, work):
+    """Run a coroutine whose first append is not answered in time; return its result."""
+    appends = fake_store.calls["/-/log-append"]
+    fake_store.late_s = late_s
     task = asyncio.create_task(work)
-    await wait.wait_for(lambda: outside.calls["/-/log-append"] > appends, 5, 0.001)
-    outside.late_s = None
+    await wait.wait_for(lambda: fake_store.calls["/-/log-append"] > appends, 5, 0.001)
+    fake_store.late_s = None
     return await task
 
 
-def test_lost_answer_does_not_hold_up_the_bodies_of_a_job():
-    # The store loses a third of its answers for some seconds. A job is written in two
-    # calls; each waited for until its time is up, its caller would be told after the
-    # time that it has.
-    async def check(outside, one, other):
+def test_lost_answer_does_not_delay_writing_bodies():
+    # The store drops acknowledgements. Waiting for the full timeout of each append
+    # would exceed the timeout of the caller.
+    async def check(fake_store, one, other):
         await wait.wait_for(lambda: one.storage.is_loaded, 5, 0.005)
-        one.store.timeout_s = NEVER_S
+        one.store.timeout_s = UNANSWERED_S
         put = one.storage.contents.put("j", {"b/0/w": b"body"}, 5)
-        written = await lose_first_answer(outside, NEVER_S, put)
-        named = await other.storage.contents.read("j", list(written.values()))
-        assert named == {"b/0/w": b"body"}
+        written = await run_with_first_answer_lost(fake_store, UNANSWERED_S, put)
+        contents_by_name = await other.storage.contents.read(
+            "j", list(written.values())
+        )
+        assert contents_by_name == {"b/0/w": b"body"}
 
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.05, NEVER_S])
-def test_lost_answer_does_not_hold_up_the_acceptance_of_a_job(late_s):
-    # The store takes the job and its answer is lost: that shows in the partition long
-    # before the call is given up on. Or it may take it seconds later: then the same
-    # append is made again, and one of the two takes effect.
-    async def check(outside, one, other):
+@pytest.mark.parametrize("late_s", [0.05, UNANSWERED_S])
+def test_lost_answer_does_not_delay_accepting_a_job(late_s):
+    # The append takes effect at once or late, without an acknowledgement. Reading the
+    # partition or retrying the append must resolve this well before the timeout.
+    async def check(fake_store, one, other):
         await wait.wait_for(lambda: one.storage.is_loaded, 5, 0.005)
-        one.store.timeout_s = NEVER_S
+        one.store.timeout_s = UNANSWERED_S
         body = content.Reference("b/0/w", 0, 1, 4)
-        made = record.make_job("j", "h", "/p/", 0.0, [job.Item("i", "/p", {}, 7, body)])
+        job_record = record.make_job(
+            "j", "h", "/p/", 0.0, [job.Item("i", "/p", {}, 7, body)]
+        )
 
         def build(view):
-            return [] if "j" in view.jobs else [made]
+            return [] if "j" in view.jobs else [job_record]
 
         commit = one.storage.accepted.commit(build, 5)
-        await lose_first_answer(outside, late_s, commit)
-        assert len(outside.get_partition("keyed.jobs", 0).records) == 1
+        await run_with_first_answer_lost(fake_store, late_s, commit)
+        assert len(fake_store.get_partition("keyed.jobs", 0).records) == 1
 
     test_transcript.run_with(check)
 
 
-def test_lost_answer_does_not_hold_up_the_reading_of_contents():
-    async def check(outside, one, other):
+def test_lost_answer_does_not_delay_reading_contents():
+    async def check(fake_store, one, other):
         written = await one.storage.contents.put("j", {"b/0/w": b"body"}, 5)
         await wait.wait_for(lambda: other.storage.is_loaded, 5, 0.005)
         await asyncio.gather(*(cancel(task) for task in other.tasks))
-        other.store.timeout_s = NEVER_S
-        outside.board.place(faults.Order("stall", count=1, path="/-/log-read"))
+        other.store.timeout_s = UNANSWERED_S
+        fake_store.board.place(faults.Order("stall", count=1, path="/-/log-read"))
         for task in one.tasks:
             await cancel(task)
-        named = await asyncio.wait_for(
+        contents_by_name = await asyncio.wait_for(
             other.storage.contents.read("j", list(written.values())), 20
         )
-        assert named == {"b/0/w": b"body"}
+        assert contents_by_name == {"b/0/w": b"body"}
 
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.3, NEVER_S])
-def test_lost_answer_does_not_hold_up_the_listing_of_an_item(late_s):
-    # The same result may be taken twice; it is listed once, for all alike.
-    async def check(outside, one, other):
+@pytest.mark.parametrize("late_s", [0.3, UNANSWERED_S])
+def test_lost_answer_does_not_delay_recording_a_result(late_s):
+    # A duplicated result must be listed once.
+    async def check(fake_store, one, other):
         await one.accept()
-        made = await one.open_transcript()
-        made.add(event.Event(b"", "1", "a"))
-        one.store.timeout_s = NEVER_S
-        listing = made.give_up(5)
-        await lose_first_answer(outside, late_s, listing)
-        outcomes = outside.get_partition("keyed.outcomes", 0)
+        item_transcript = await one.open_transcript()
+        item_transcript.add(event.Event(b"", "1", "a"))
+        one.store.timeout_s = UNANSWERED_S
+        listing = item_transcript.give_up(5)
+        await run_with_first_answer_lost(fake_store, late_s, listing)
+        outcomes = fake_store.get_partition("keyed.outcomes", 0)
         jobs = other.storage.job_table.jobs
         await wait.wait_for(lambda: jobs["j"].results, 5, 0.005)
-        if late_s != NEVER_S:
+        if late_s != UNANSWERED_S:
             await wait.wait_for(lambda: outcomes.end >= 2, 5, 0.005)
         await other.storage.refresh()
         assert len(jobs["j"].results) == 1
--- a/pimentowick/gateway/tests/test_loss.py
+++ b/pimentowick/gateway/tests/test_loss.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "cause"),
+    ("id_lines", "cause"),
     [
         ([make_sent(), make_ended(in_time=True)], ""),
         ([make_sent(), make_ended()], "late: slow at a target with free places"),
@@ -34,8 +34,8 @@
         ([make_line("caller.refused", outcome="not_ready")], "refused: not_ready"),
     ],
 )
-def test_online_request_counts_under_one_cause(own, cause):
-    assert loss.explain_online(own)[1] == cause
+def test_online_request_counts_under_one_cause(id_lines, cause):
+    assert loss.explain_online(id_lines)[1] == cause
 
 
 def make_ran(due_in_s, outcome="answered", process="front-1"):
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "cause"),
+    ("id_lines", "cause"),
     [
         ([ITEM_SENT, make_ran(1.0)], ""),
         ([ITEM_SENT, make_ran(-1.0)], "late: waited for a place"),
@@ -75,13 +75,12 @@
         ([make_line("item.given_up", outcome="failed")], "given up: failed"),
     ],
 )
-def test_item_counts_under_one_cause(own, cause):
-    assert loss.explain_item(own) == cause
+def test_item_counts_under_one_cause(id_lines, cause):
+    assert loss.explain_item(id_lines) == cause
 
 
-def test_causes_of_a_kind_add_up_to_what_was_not_in_time():
-    # On-call looks for the largest cause of a bad day; a request that counted twice,
-    # or not at all, would send them the wrong way.
+def test_counts_by_cause_add_up_to_all_misses():
+    # Each request must count exactly once, or the largest cause would be wrong.
     lines = []
     for number, ended in enumerate(
         [
@@ -94,6 +93,6 @@
         for line in (make_sent(), ended):
             data = {**line.data, "id": f"r{number}"}
             lines.append(history.Line("front-1", data))
-    found = loss.list_losses(lines)
-    assert [(entry.count, entry.asked) for entry in found] == [(2, 4), (1, 4)]
-    assert loss.to_rows(found)[0] == "not in time, stream: 3 of 4"
+    misses = loss.count_misses(lines)
+    assert [(miss.count, miss.total) for miss in misses] == [(2, 4), (1, 4)]
+    assert loss.format_misses(misses)[0] == "not in time, stream: 3 of 4"
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -7,134 +7,132 @@
 from pimentowick.platform import store
 
 
-class Refusing:
-    """A store that turns away as many tries as it is told to."""
+class RejectingStore:
+    """A store that rejects a given number of renewals."""
 
     def __init__(self):
-        self.refusals = 0
-        self.refused = 0
+        self.rejections_left = 0
+        self.rejected_count = 0
         self.reached_at = float("-inf")
 
     async def join(self, group, member, topic, lease_s, generation):
-        if self.refusals > 0:
-            self.refusals -= 1
-            self.refused += 1
+        if self.rejections_left > 0:
+            self.rejections_left -= 1
+            self.rejected_count += 1
             raise store.RejectedError("away")
         return store.Dealt(1, frozenset({1, 2}))
 
 
-def run_cut_off(get_others_renewal, refusals, until):
-    """Let the store turn an entry away; return its parts and how often they changed.
+def run_rejected(get_peer_renewal, rejections_left, until):
+    """Return the partitions of a rejected entry and the number of assignment changes.
 
     Args:
-        get_others_renewal: Function of the store that returns when the newest lease of
-            another entry was renewed.
-        refusals: Number of tries that are turned away.
+        get_peer_renewal: Function from the store to the monotonic time of the latest
+            lease renewal of any other entry.
+        rejections_left: Number of renewals that the store rejects.
         until: Function of the store and the `ownership.Ownership` that ends the test.
     """
 
     async def run():
-        outside = Refusing()
+        fake_store = RejectingStore()
         changes = []
-        found = ownership.Ownership(
-            outside,
+        membership = ownership.Ownership(
+            fake_store,
             "me",
             0.01,
             lambda: changes.append(1),
-            lambda: get_others_renewal(outside),
+            lambda: get_peer_renewal(fake_store),
         )
-        found._lease_s = 0.1
-        task = asyncio.create_task(found.run())
-        await wait.wait_for(lambda: found.parts, 5, 0.005)
-        found.renewed_at = time.monotonic() - 60
-        outside.refusals = refusals
-        await wait.wait_for(lambda: until(outside, found), 5, 0.005)
+        membership._lease_s = 0.1
+        task = asyncio.create_task(membership.run())
+        await wait.wait_for(lambda: membership.partitions, 5, 0.005)
+        membership.renewed_at = time.monotonic() - 60
+        fake_store.rejections_left = rejections_left
+        await wait.wait_for(lambda: until(fake_store, membership), 5, 0.005)
         task.cancel()
-        return found.parts, len(changes)
+        return membership.partitions, len(changes)
 
     return asyncio.run(run())
 
 
-def renew_others_after_refusal(outside):
-    return math.inf if outside.refused else -math.inf
+def renew_peers_after_rejection(fake_store):
+    return math.inf if fake_store.rejected_count else -math.inf
 
 
-def is_refused_often(outside, found):
-    return outside.refused >= 4
+def is_rejected_often(fake_store, membership):
+    return fake_store.rejected_count >= 4
 
 
-def is_renewed(outside, found):
-    return outside.refused and found.get_lease_age() < 60
+def is_renewed(fake_store, membership):
+    return fake_store.rejected_count and membership.get_lease_age() < 60
 
 
-def test_entry_that_alone_lost_the_store_stops_its_part_of_the_batch_work():
-    # The store turns one entry away and serves the others, and has dealt its parts
-    # to them. Going on, it would run every item a second time.
-    assert run_cut_off(lambda outside: math.inf, 1000, is_refused_often) == (
+def test_cut_off_entry_releases_its_partitions():
+    # The store rejects only this entry and has reassigned its partitions. If it went
+    # on, every item would run twice.
+    assert run_rejected(lambda fake_store: math.inf, 1000, is_rejected_often) == (
         frozenset(),
         2,
     )
 
 
-def test_store_that_loses_answers_and_serves_reads_has_turned_nobody_away():
-    # A third of the answers to writes are lost for some seconds, so that two renewals
-    # in a row bring none. What runs here goes on: the store has renewed the lease.
-    def get_others_renewal(outside):
-        outside.reached_at = time.monotonic() + 60
+def test_lost_answers_release_no_partitions_while_reads_succeed():
+    # Two renewals in a row get no answer, but reads do. The lease has been renewed, so
+    # the items keep running.
+    def get_peer_renewal(fake_store):
+        fake_store.reached_at = time.monotonic() + 60
         return math.inf
 
-    found = run_cut_off(get_others_renewal, 1000, is_refused_often)
-    assert found == (frozenset({1, 2}), 1)
+    result = run_rejected(get_peer_renewal, 1000, is_rejected_often)
+    assert result == (frozenset({1, 2}), 1)
 
 
-def test_batch_work_goes_on_while_the_store_is_away_for_all():
-    assert run_cut_off(lambda outside: -math.inf, 1000, is_refused_often) == (
+def test_partitions_are_kept_in_an_outage_for_all_entries():
+    assert run_rejected(lambda fake_store: -math.inf, 1000, is_rejected_often) == (
         frozenset({1, 2}),
         1,
     )
 
 
-def test_try_that_began_in_an_outage_gives_nothing_up():
-    # The store is back and others have been renewed, while this entry's try still
-    # waits for an answer that was lost in the outage. Given up for that, all that its
-    # items have made and could not record would be lost a moment before it could be.
-    found = run_cut_off(renew_others_after_refusal, 1, is_renewed)
-    assert found == (frozenset({1, 2}), 1)
+def test_renewal_begun_in_an_outage_releases_nothing():
+    # The store is back and peers have renewed, while a renewal here still waits for an
+    # answer lost in the outage. Releasing the partitions would discard unsaved text.
+    result = run_rejected(renew_peers_after_rejection, 1, is_renewed)
+    assert result == (frozenset({1, 2}), 1)
 
 
-def test_try_that_waits_for_a_lost_answer_ends_once_others_reach_the_store():
-    # Until its time is up nothing of what ended meanwhile is listed, and jobs that
-    # come here would be sent on although the store is back.
-    class Silent(Refusing):
+def test_unanswered_renewal_is_aborted_once_peers_renew():
+    # Waiting for the full timeout would delay results and refuse jobs needlessly.
+    class HangingStore(RejectingStore):
         async def join(self, group, member, topic, lease_s, generation):
-            if self.refusals > 0:
-                self.refusals -= 1
-                self.refused += 1
+            if self.rejections_left > 0:
+                self.rejections_left -= 1
+                self.rejected_count += 1
                 await asyncio.Event().wait()
             return await super().join(group, member, topic, lease_s, generation)
 
     async def run():
-        outside = Silent()
-        found = ownership.Ownership(
-            outside,
+        fake_store = HangingStore()
+        membership = ownership.Ownership(
+            fake_store,
             "me",
             0.01,
             lambda: None,
-            lambda: renew_others_after_refusal(outside),
+            lambda: renew_peers_after_rejection(fake_store),
         )
-        task = asyncio.create_task(found.run())
-        await wait.wait_for(lambda: found.parts, 5, 0.005)
-        outside.refusals = 1
-        await wait.wait_for(lambda: outside.refused, 5, 0.005)
-        before = found.renewed_at
-        await wait.wait_for(lambda: found.renewed_at > before, 5, 0.005)
-        assert found.parts and not found.is_cut_off
+        task = asyncio.create_task(membership.run())
+        await wait.wait_for(lambda: membership.partitions, 5, 0.005)
+        fake_store.rejections_left = 1
+        await wait.wait_for(lambda: fake_store.rejected_count, 5, 0.005)
+        before = membership.renewed_at
+        await wait.wait_for(lambda: membership.renewed_at > before, 5, 0.005)
+        assert membership.partitions and not membership.is_cut_off
         task.cancel()
 
     asyncio.run(run())
 
 
-def test_neighbours_tell_when_they_reached_the_store():
+def test_peers_report_their_latest_renewal():
     server = replica.Replica()
 
     async def run():
@@ -159,10 +157,9 @@
     asyncio.run(run())
 
 
-def test_entry_that_is_killed_goes_on_with_its_parts_at_once():
-    # All hosts lose power for a second. To the store the members of before hold the
-    # batch work until their leases end; entries that came back under other names
-    # would leave all targets without batch items for as long.
+def test_restarted_entry_keeps_its_partitions():
+    # After a crash, the store assigns the partitions to the old members until their
+    # leases expire. Under new names, the entries would own none of them until then.
     server = replica.Replica()
 
     async def run():
@@ -170,18 +167,18 @@
             first, other = site.gateways
             members = (first.ownership, other.ownership)
             await wait.wait_for(
-                lambda: all(len(member.parts) == 4 for member in members), 10, 0.01
+                lambda: all(len(member.partitions) == 4 for member in members), 10, 0.01
             )
-            held = first.ownership.parts
+            held = first.ownership.partitions
             await first.close()
-            # Its socket is closed in the next turn.
+            # The socket is closed in the next iteration of the event loop.
             await asyncio.sleep(0)
             site.gateways.remove(first)
             group = site.store.get_group(ownership.GROUP)
             generation = group.generation
             again = await site.start_entry(first.settings)
-            await wait.wait_for(lambda: again.runner.owned, 10, 0.005)
-            assert again.runner.owned == held
+            await wait.wait_for(lambda: again.runner.owned_partitions, 10, 0.005)
+            assert again.runner.owned_partitions == held
             assert group.generation == generation
 
     asyncio.run(run())
--- a/pimentowick/gateway/tests/writer.py
+++ b/pimentowick/gateway/tests/writer.py
@@ -1,4 +1,4 @@
-"""What one entry keeps of jobs, with its tasks."""
+"""Job storage with its background tasks, for tests."""
 
 import asyncio
 
@@ -38,19 +38,19 @@
 
 
 def run_with(check, count=2, make=Writer):
-    """Run a check with a store's stand-in and writers."""
+    """Run a check with a fake store and a number of writers."""
 
     async def run():
-        outside = platform_store.PlatformStore()
-        await outside.start()
-        writers = [make(outside.address) for _ in range(count)]
-        for each in writers:
-            await each.start()
+        fake_store = platform_store.PlatformStore()
+        await fake_store.start()
+        writers = [make(fake_store.address) for _ in range(count)]
+        for one in writers:
+            await one.start()
         try:
-            await check(outside, writers)
+            await check(fake_store, writers)
         finally:
-            for each in writers:
-                await each.close()
-            await outside.close()
+            for one in writers:
+                await one.close()
+            await fake_store.close()
 
     asyncio.run(run())
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -1,10 +1,10 @@
-"""What the runs of an item have made, and what of it is recorded.
+"""Text of an item: the events generated so far, and its checkpoints in the store.
 
 Notes:
-    An item may run at two entries at once. Each piece of text that is recorded has a
-    name of its own and names the one that it goes on after, so that pieces of two runs
-    are never joined. Whoever takes over goes on after the longest such chain. A result
-    refers to one whole text, written by one run; the first result of an item counts.
+    An item may run at two entries at once. Each checkpoint has a unique name and links
+    to its predecessor, so that checkpoints of different runs are never mixed. A new
+    owner resumes from the longest chain. A result refers to one complete text; if an
+    item has several results, the first one counts.
 """
 
 import uuid
@@ -14,11 +14,11 @@
 from pimentowick import exception
 from pimentowick.gateway import content, decision, record
 
-__all__ = ["Transcript", "find_longest"]
+__all__ = ["Transcript", "find_longest_text"]
 
 
 class Transcript:
-    """The text of one item as this entry has it.
+    """The text of one item as known to this entry.
 
     Args:
         storage: The `pimentowick.gateway.job_storage.JobStorage` of the job.
@@ -28,115 +28,121 @@
     Attributes:
         item: The `pimentowick.gateway.job.Item`.
         number: Number of the item.
-        body: Its body, or None before it was read.
-        texts: Data of all events so far.
+        body: Its body, or None until it is read.
+        texts: Data of the events so far.
         last_event: Identifier of the last event, or None.
-        made: Number of events made here.
+        events_generated: Number of events received from targets at this entry.
     """
 
     def __init__(self, storage, job, number):
         self._storage = storage
         self._job = job
-        self._run = uuid.uuid4().hex
-        self._pieces = []
-        self._recorded = 0
+        self._run_id = uuid.uuid4().hex
+        self._checkpoints = []
+        self._recorded_count = 0
         self.item = job.items[number]
         self.number = number
         self.body = None
         self.texts = []
         self.last_event = None
-        self.made = 0
+        self.events_generated = 0
 
     @property
-    def is_wanted(self):
+    def needs_run(self):
         """Whether the item still has to run."""
-        known = self._storage.job_table.jobs.get(self._job.id)
-        return known is self._job and self._job.needs_run(self.number)
+        current_job = self._storage.job_table.jobs.get(self._job.id)
+        return current_job is self._job and self._job.needs_run(self.number)
 
     @property
     def failures(self):
-        """How many runs of the item have failed."""
+        """Number of failed runs of the item."""
         return self._job.count_failures(self.number)
 
     def count_events(self):
-        """Return how many events there are so far, made here or elsewhere."""
+        """Return the number of events so far, including those of other entries."""
         return len(self.texts)
 
-    def take_contents(self, named):
-        """Take the body, and the text that others have recorded.
+    def load(self, contents):
+        """Load the body and the longest chain of checkpoints.
 
         Args:
-            named: Contents of the job, bytes by name.
+            contents: Contents of the job, bytes by name.
 
         Raises:
-            MissingError: The body is not among them.
+            MissingError: The body is missing or incomplete.
         """
         name = self.item.body.name
-        if name not in named or len(named[name]) != self.item.body.size:
-            raise content.MissingError(f"{self.item.id} has no whole body.")
-        self.body = named[name]
-        self._pieces, self.texts, self.last_event = find_longest(named, self.number)
-        self._recorded = len(self.texts)
+        if name not in contents or len(contents[name]) != self.item.body.size:
+            raise content.MissingError(
+                f"{self.item.id}: the body is missing or incomplete."
+            )
+        self.body = contents[name]
+        self._checkpoints, self.texts, self.last_event = find_longest_text(
+            contents, self.number
+        )
+        self._recorded_count = len(self.texts)
 
     def add(self, event):
-        """Add an event; return whether it follows the one before."""
+        """Append an event; return False if it does not follow the last one."""
         if self.last_event is not None and not _follows(self.last_event, event.id):
             return False
         self.texts.append(event.data)
         self.last_event = event.id
-        self.made += 1
+        self.events_generated += 1
         return True
 
     async def save(self, timeout_s):
-        """Record the text so far, so that another entry can go on after it.
+        """Write a checkpoint of the text, so that another entry can resume from it.
 
         Args:
-            timeout_s: How long to try, in seconds.
+            timeout_s: Timeout, in seconds.
 
         Raises:
-            LogError: It is not known to be recorded.
+            LogError: The checkpoint may not be written.
         """
-        if len(self.texts) == self._recorded or not self.is_wanted:
+        if len(self.texts) == self._recorded_count or not self.needs_run:
             return
         count = len(self.texts)
-        name = record.name_piece(self.number, uuid.uuid4().hex)
-        piece = {
-            "after": self._pieces[-1].name if self._pieces else None,
-            "texts": self.texts[self._recorded :],
+        name = record.name_checkpoint(self.number, uuid.uuid4().hex)
+        checkpoint = {
+            "after": self._checkpoints[-1].name if self._checkpoints else None,
+            "texts": self.texts[self._recorded_count :],
             "last": self.last_event,
         }
-        found = await self._storage.contents.put(
-            self._job.id, {name: orjson.dumps(piece)}, timeout_s
+        references = await self._storage.contents.put(
+            self._job.id, {name: orjson.dumps(checkpoint)}, timeout_s
         )
-        self._pieces.append(found[name])
-        self._recorded = count
+        self._checkpoints.append(references[name])
+        self._recorded_count = count
 
     async def finish(self, timeout_s):
-        """List the item as done with the whole text.
+        """Store the complete text and record the item as done.
 
         Raises:
-            LogError: It is not known to be listed.
+            LogError: The result may not be recorded.
         """
-        if not self.is_wanted:
+        if not self.needs_run:
             return
-        name = record.name_text(self.number, self._run)
+        name = record.name_text(self.number, self._run_id)
         text = "\n".join(self.texts).encode()
-        found = await self._storage.contents.put(self._job.id, {name: text}, timeout_s)
-        await self._list(True, found[name], timeout_s)
-        await self._drop_needless()
+        references = await self._storage.contents.put(
+            self._job.id, {name: text}, timeout_s
+        )
+        await self._record_result(True, references[name], timeout_s)
+        await self._delete_unneeded()
 
     async def give_up(self, timeout_s):
-        """List the item as one that was not done.
+        """Record the item as not done.
 
         Raises:
-            LogError: It is not known to be listed.
+            LogError: The result may not be recorded.
         """
-        await self._list(False, None, timeout_s)
-        await self._drop_needless()
+        await self._record_result(False, None, timeout_s)
+        await self._delete_unneeded()
 
-    async def _list(self, done, text, timeout_s):
+    async def _record_result(self, done, text, timeout_s):
         def build():
-            if not self.is_wanted:
+            if not self.needs_run:
                 return []
             writer = uuid.uuid4().hex
             return [
@@ -145,76 +151,78 @@
 
         await self._storage.outcomes.put(build, timeout_s)
 
-    async def _drop_needless(self):
-        """Drop what nobody asks for once the item is listed."""
+    async def _delete_unneeded(self):
+        """Delete the body and the checkpoints of an item that has a result."""
         try:
-            references = [self.item.body, *self._pieces]
+            references = [self.item.body, *self._checkpoints]
             await self._storage.contents.drop(self._job.id, references)
         except exception.LogError as error:
-            # They go with the job.
+            # They are deleted together with the job.
             decision.note_request("item.contents_kept", self.item.id, why=str(error))
 
-    async def note_failure(self, timeout_s):
-        """Record that a target said the run has failed.
+    async def record_failure(self, timeout_s):
+        """Record that the target reported a run as failed.
 
         Raises:
-            LogError: It is not known to be recorded.
+            LogError: The failure may not be recorded.
         """
-        run = uuid.uuid4().hex
+        failure_id = uuid.uuid4().hex
         index = self.failures
 
         def build():
-            if not self.is_wanted or self.failures > index:
+            if not self.needs_run or self.failures > index:
                 return []
-            return [record.make_failure(self._job.id, self.number, run)]
+            return [record.make_failure(self._job.id, self.number, failure_id)]
 
         await self._storage.outcomes.put(build, timeout_s)
 
 
-def find_longest(named, number):
-    """Return (references, texts, last event) of the longest recorded text of an item.
+def find_longest_text(contents, number):
+    """Return (references, texts, last event) of the longest chain of checkpoints.
 
     Args:
-        named: Contents of the job, bytes by name.
+        contents: Contents of the job, bytes by name.
         number: Number of the item.
 
     Examples:
         >>> one = {"after": None, "texts": ["a", "b"], "last": "2"}
         >>> two = {"after": "t/0/one", "texts": ["c"], "last": "3"}
         >>> other = {"after": None, "texts": ["x"], "last": "1"}
-        >>> named = {"t/0/one": one, "t/0/two": two, "t/0/other": other}
-        >>> named = {name: orjson.dumps(piece) for name, piece in named.items()}
-        >>> find_longest(named, 0)[1:]
+        >>> contents = {"t/0/one": one, "t/0/two": two, "t/0/other": other}
+        >>> contents = {name: orjson.dumps(value) for name, value in contents.items()}
+        >>> find_longest_text(contents, 0)[1:]
         (['a', 'b', 'c'], '3')
     """
-    prefix = record.name_piece(number, "")
-    pieces = {}
-    for name, value in named.items():
+    prefix = record.name_checkpoint(number, "")
+    checkpoints = {}
+    for name, value in contents.items():
         if name.startswith(prefix):
             try:
-                pieces[name] = orjson.loads(value)
+                checkpoints[name] = orjson.loads(value)
             except ValueError:
-                decision.note_belief("item.piece_garbled", piece=name)
-    best = ([], [], None)
-    for name in pieces:
-        chain = _follow_back(pieces, name)
+                decision.note_belief("item.piece_garbled", checkpoint=name)
+    longest = ([], [], None)
+    for name in checkpoints:
+        chain = _build_chain(checkpoints, name)
         if chain is None:
             continue
-        texts = [text for link in chain for text in pieces[link]["texts"]]
-        if len(texts) > len(best[1]):
-            best = (chain, texts, pieces[name]["last"])
-    references = [content.Reference(name, -1, 1, len(named[name])) for name in best[0]]
-    return references, best[1], best[2]
+        texts = [text for link in chain for text in checkpoints[link]["texts"]]
+        if len(texts) > len(longest[1]):
+            longest = (chain, texts, checkpoints[name]["last"])
+    references = [
+        content.Reference(name, -1, 1, len(contents[name])) for name in longest[0]
+    ]
+    return references, longest[1], longest[2]
 
 
-def _follow_back(pieces, name):
-    """Return the names of a chain from its first piece, or None if one is missing."""
+def _build_chain(checkpoints, name):
+    """Return the names of a chain in order, or None if a checkpoint is missing."""
     chain = []
     while name is not None:
-        if name not in pieces or name in chain:
+        if name not in checkpoints or name in chain:
             return None
         chain.append(name)
-        name = pieces[name]["after"]
+        name = checkpoints[name]["after"]
     return chain[::-1]
 
 
