--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -92,7 +92,7 @@
         self._runs = {}
         self._service_times = {}
         self._wake = asyncio.Event()
-        self._saving = set()
+        self._background_tasks = set()
         self._reconciled_state = None
         self._next_start_at = 0.0
         self._next_schedule_at = 0.0
@@ -165,7 +165,7 @@
             self._hand_over(key, run, RECORD_TIMEOUT_S)
         self._runs.clear()
         await self._prefetcher.close()
-        await asyncio.gather(*self._saving, return_exceptions=True)
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
 
     def preempt(self):
         """Preempt batch items on targets whose load exceeds their slots."""
@@ -310,8 +310,8 @@
     def _start_background(self, coroutine):
         """Run a coroutine that `close` waits for."""
         task = asyncio.create_task(coroutine)
-        self._saving.add(task)
-        task.add_done_callback(self._saving.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def _start_ready(self):
         now = time.monotonic()
@@ -432,11 +432,11 @@
             final_checkpoint = execution.save_final(run.transcript, timeout_s)
             task = asyncio.create_task(final_checkpoint)
         self._recordings_in_flight[partition] += 1
-        self._saving.add(task)
+        self._background_tasks.add(task)
         task.add_done_callback(lambda done: self._on_recorded(key, partition, done))
 
     def _on_recorded(self, key, partition, task):
-        self._saving.discard(task)
+        self._background_tasks.discard(task)
         self._recordings_in_flight[partition] -= 1
         if not self._recordings_in_flight[partition]:
             del self._recordings_in_flight[partition]
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -278,7 +278,7 @@
             await site.call("POST", "/lot/x", body, X_Pimentowick_Request_Id="j")
             jobs = gateway.storage.job_table.jobs
             await wait_true(lambda: any(found.results for found in jobs.values()))
-            await wait_true(lambda: not gateway.runner._saving)
+            await wait_true(lambda: not gateway.runner._background_tasks)
             for found in jobs.values():
                 found.submitted_s = 0.0
             await gateway._retention.remove_expired_jobs()
