--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -114,10 +114,10 @@
             LogError: Some contents may not be written.
         """
         references = {}
-        ends_at = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         for batch in self._split_batches(job_id, contents):
             records = [record for group in batch.values() for record in group]
-            end = await self._append(job_id, records, ends_at)
+            end = await self._append(job_id, records, deadline)
             offset = end - len(records)
             for name, group in batch.items():
                 references[name] = Reference(
@@ -126,12 +126,12 @@
                 offset += len(group)
         return references
 
-    async def _append(self, job_id, records, ends_at):
+    async def _append(self, job_id, records, deadline):
         topic, partition = self._find_partition(job_id)
         backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
-                async with asyncio.timeout(ends_at - time.monotonic()):
+                async with asyncio.timeout(deadline - time.monotonic()):
                     return await hedging.hedge(
                         lambda: self._store.append(topic, partition, records, None)
                     )
@@ -140,7 +140,7 @@
                     f"{job_id}: the contents were not written before the timeout."
                 ) from None
             except exception.LogError:
-                if time.monotonic() + backoff_s >= ends_at:
+                if time.monotonic() + backoff_s >= deadline:
                     raise
             await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
             backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
@@ -168,7 +168,7 @@
             for index in range(count)
         ]
 
-    async def drop(self, job_id, references):
+    async def delete(self, job_id, references):
         """Delete the given contents of a job.
 
         Raises:
@@ -183,7 +183,7 @@
         if records:
             await self._store.append(topic, partition, records, None)
 
-    async def drop_all(self, job_id):
+    async def delete_all(self, job_id):
         """Delete all contents of a job.
 
         Raises:
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -130,14 +130,14 @@
     request = upstream.Request(
         run.item.id, "POST", run.item.path, headers, item_transcript.body
     )
-    checkpointing = asyncio.create_task(_checkpoint_periodically(item_transcript))
-    sending = asyncio.ensure_future(pool.send(request, sink))
+    checkpoint_task = asyncio.create_task(_checkpoint_periodically(item_transcript))
+    request_task = asyncio.ensure_future(pool.send(request, sink))
     try:
-        outcome = await _wait_until_idle(sending, sink)
+        outcome = await _wait_for_outcome(request_task, sink)
     finally:
-        sending.cancel()
-        checkpointing.cancel()
-        await asyncio.gather(checkpointing, sending, return_exceptions=True)
+        request_task.cancel()
+        checkpoint_task.cancel()
+        await asyncio.gather(checkpoint_task, request_task, return_exceptions=True)
     return outcome, sink
 
 
@@ -163,12 +163,12 @@
         )
 
 
-async def _wait_until_idle(sending, sink):
+async def _wait_for_outcome(request_task, sink):
     """Return the outcome of a run, or `End.CUT` if it stays silent too long."""
     while True:
-        left_s = sink.last_received_at + IDLE_TIMEOUT_S - time.monotonic()
-        done, _ = await asyncio.wait({sending}, timeout=max(0.0, left_s))
+        remaining_s = sink.last_received_at + IDLE_TIMEOUT_S - time.monotonic()
+        done, _ = await asyncio.wait({request_task}, timeout=max(0.0, remaining_s))
         if done:
-            return sending.result()
+            return request_task.result()
         if time.monotonic() - sink.last_received_at >= IDLE_TIMEOUT_S:
             return upstream.Outcome(upstream.End.CUT, "silent")
--- a/pimentowick/gateway/job.py
+++ b/pimentowick/gateway/job.py
@@ -19,7 +19,7 @@
 
 from pimentowick.gateway import content
 
-__all__ = ["Item", "Job", "JobTable", "Outcome", "Result"]
+__all__ = ["Item", "Job", "JobOutcome", "JobTable", "Result"]
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Outcome:
+class JobOutcome:
     """The outcome records of a job.
 
     Attributes:
@@ -71,11 +71,11 @@
     failures: dict = dataclasses.field(default_factory=dict)
     is_cancelled: bool = False
     keys: list = dataclasses.field(default_factory=list)
-    _listed: set = dataclasses.field(default_factory=set)
+    _with_result: set = dataclasses.field(default_factory=set)
 
-    def is_listed(self, number):
+    def has_result(self, number):
         """Return whether an item has a result."""
-        return number in self._listed
+        return number in self._with_result
 
     def apply(self, key, kind, tail, value):
         """Apply one record."""
@@ -85,9 +85,9 @@
             self.is_cancelled = True
         elif kind == "f":
             self.failures.setdefault(int(number), set()).add(name)
-        elif kind == "i" and int(number) not in self._listed:
+        elif kind == "i" and int(number) not in self._with_result:
             data = orjson.loads(value)
-            self._listed.add(int(number))
+            self._with_result.add(int(number))
             text = content.Reference.decode(data["text"]) if data["text"] else None
             self.rows.append((int(number), data["done"], text))
 
@@ -102,7 +102,7 @@
         path: Path of the submission.
         submitted_s: Unix time of acceptance.
         items: The `Item` objects by number.
-        outcome: The `Outcome`.
+        outcome: The `JobOutcome`.
         workspace: Name of the workspace that owns the job, or None.
         received_at: Monotonic time at which the record was received, or minus infinity
             if it was part of a snapshot.
@@ -113,7 +113,7 @@
     path: str
     submitted_s: float
     items: list
-    outcome: Outcome = dataclasses.field(default_factory=Outcome)
+    outcome: JobOutcome = dataclasses.field(default_factory=JobOutcome)
     received_at: float = float("-inf")
     workspace: str | None = None
 
@@ -141,7 +141,7 @@
 
     def needs_run(self, number):
         """Return whether an item has no result and may still run."""
-        return not self.is_cancelled and not self.outcome.is_listed(number)
+        return not self.is_cancelled and not self.outcome.has_result(number)
 
     def count_failures(self, number):
         """Return the number of failed runs of an item."""
@@ -154,7 +154,7 @@
         return sum(
             item.tokens
             for number, item in enumerate(self.items)
-            if not self.outcome.is_listed(number)
+            if not self.outcome.has_result(number)
         )
 
 
@@ -182,7 +182,7 @@
         for job_id in [
             job_id for job_id in self.jobs if f"j/{job_id}" not in live_keys
         ]:
-            self._drop(job_id)
+            self._delete_job(job_id)
         for record in records:
             self._apply_job(record.key, record.value, float("-inf"))
 
@@ -192,7 +192,7 @@
         for record in records:
             self.apply_outcome(record.key, record.value)
         for job in self.jobs.values():
-            job.outcome = self._outcomes.setdefault(job.id, Outcome())
+            job.outcome = self._outcomes.setdefault(job.id, JobOutcome())
             self._update_open(job)
 
     def apply_job(self, key, value):
@@ -205,9 +205,9 @@
         if kind != "j":
             return
         if not value:
-            self._drop(job_id)
+            self._delete_job(job_id)
         elif job_id not in self.jobs:
-            self._add(job_id, orjson.loads(value), received_at)
+            self._add_job(job_id, orjson.loads(value), received_at)
 
     def apply_outcome(self, key, value):
         """Apply one outcome record; an empty value is a tombstone."""
@@ -219,12 +219,12 @@
             if job_id not in self.jobs:
                 self._outcomes.pop(job_id, None)
             return
-        self._outcomes.setdefault(job_id, Outcome()).apply(key, kind, tail, value)
+        self._outcomes.setdefault(job_id, JobOutcome()).apply(key, kind, tail, value)
         if job_id in self.jobs:
             self._update_open(self.jobs[job_id])
 
-    def _add(self, job_id, data, received_at):
-        outcome = self._outcomes.setdefault(job_id, Outcome())
+    def _add_job(self, job_id, data, received_at):
+        outcome = self._outcomes.setdefault(job_id, JobOutcome())
         items = [_make_item(row) for row in data["items"]]
         job = Job(
             job_id,
@@ -239,7 +239,7 @@
         self.jobs[job_id] = job
         self._update_open(job)
 
-    def _drop(self, job_id):
+    def _delete_job(self, job_id):
         self.jobs.pop(job_id, None)
         self.open_jobs.pop(job_id, None)
         self._outcomes.pop(job_id, None)
@@ -261,11 +261,11 @@
         )
 
 
-def _make_item(row):
+def _make_item(fields):
     return Item(
-        row["id"],
-        row["path"],
-        row["headers"],
-        row["tokens"],
-        content.Reference.decode(row["body"]),
+        fields["id"],
+        fields["path"],
+        fields["headers"],
+        fields["tokens"],
+        content.Reference.decode(fields["body"]),
     )
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -45,8 +45,8 @@
             call: The `message.Call` decoded from the headers.
             caller: The `pimentowick.gateway.workspace.Workspace`, or None without one.
         """
-        owner = None if caller is None else caller.name
-        job_id = workspace.scope_job_id(owner, call.request_id)
+        workspace_name = None if caller is None else caller.name
+        job_id = workspace.scope_job_id(workspace_name, call.request_id)
         if job_id not in self._storage.job_table.jobs and self._is_cut_off():
             await self._refuse_cut_off(exchange, job_id)
             return
@@ -58,7 +58,7 @@
             return
         tokens = sum(item.tokens for item in items)
         try:
-            await self._accept(exchange, route, job_id, owner, items, bodies)
+            await self._accept(exchange, route, job_id, workspace_name, items, bodies)
         except exception.RefusedError as error:
             _log_decision("batch.refused", job_id, error.refusal.code, tokens=tokens)
             await exchange.refuse(error.refusal)
@@ -78,43 +78,43 @@
         )
         await exchange.answer(202, httputil.HTTPHeaders())
 
-    async def _accept(self, exchange, route, job_id, owner, items, bodies):
+    async def _accept(self, exchange, route, job_id, workspace_name, items, bodies):
         """Write the bodies of a job, then its record.
 
         Raises:
             RefusedError: The job exceeds the quota.
             LogError: The job may not be recorded.
         """
-        ends_at = time.monotonic() + SUBMIT_TIMEOUT_S
+        deadline = time.monotonic() + SUBMIT_TIMEOUT_S
         storage = self._storage
         # The quota check needs the unfinished items of all jobs.
         await storage.load(SUBMIT_TIMEOUT_S)
         if job_id in storage.job_table.jobs:
             return
         tokens = sum(item.tokens for item in items)
-        self._check_quota(route, exchange.host, owner, tokens)
+        self._check_quota(route, exchange.host, workspace_name, tokens)
         writer = uuid.uuid4().hex
         contents_by_name = {
             record.name_body(n, writer): body for n, body in enumerate(bodies)
         }
         references = await storage.contents.put(
-            job_id, contents_by_name, ends_at - time.monotonic()
+            job_id, contents_by_name, deadline - time.monotonic()
         )
         for name, item in zip(contents_by_name, items, strict=True):
             item.body = references[name]
         job_record = record.make_job(
-            job_id, exchange.host, exchange.path, time.time(), items, owner
+            job_id, exchange.host, exchange.path, time.time(), items, workspace_name
         )
 
-        def build(view):
-            if job_id in view.jobs:
+        def build(job_table):
+            if job_id in job_table.jobs:
                 return []
-            self._check_quota(route, exchange.host, owner, tokens)
+            self._check_quota(route, exchange.host, workspace_name, tokens)
             return [job_record]
 
         try:
             await storage.accepted.commit(
-                build, ends_at - time.monotonic(), exclusive=True
+                build, deadline - time.monotonic(), exclusive=True
             )
         except (exception.RefusedError, ledger.NotCommittedError):
             await self._delete_bodies(job_id, references.values())
@@ -125,7 +125,7 @@
         if job_id in self._storage.job_table.jobs:
             return
         try:
-            await self._storage.contents.drop(job_id, references)
+            await self._storage.contents.delete(job_id, references)
         except exception.LogError as error:
             decision.note_request("batch.bodies_kept", job_id, why=str(error))
 
@@ -138,12 +138,12 @@
         _log_decision("batch.refused", job_id, "cut_off")
         await exchange.refuse(_make_unavailable(OTHER_ENTRY_RETRY_AFTER_S))
 
-    def _check_quota(self, route, host, owner, tokens):
+    def _check_quota(self, route, host, workspace_name, tokens):
         """Raise `RefusedError` if a job exceeds the token quota of its route."""
         if not route.max_waiting_tokens:
             return
         waiting = self._storage.job_table.count_waiting_tokens(
-            route.path_prefix, host, owner
+            route.path_prefix, host, workspace_name
         )
         if waiting + tokens > route.max_waiting_tokens:
             refusal = verdict.Refusal(
@@ -157,13 +157,13 @@
     async def read_results(self, exchange, job_id, call):
         """Answer with the results from a position on, with long polling."""
         after = _read_position(exchange.query.get("after", "0"))
-        ends_at = time.monotonic() + min(call.wait_s, MAX_LONG_POLL_S)
+        deadline = time.monotonic() + min(call.wait_s, MAX_LONG_POLL_S)
         while True:
             job = await self._find(job_id, exchange.host, after)
-            left_s = ends_at - time.monotonic()
-            if len(job.results) > after or not job.is_open or left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if len(job.results) > after or not job.is_open or remaining_s <= 0:
                 break
-            await self._storage.outcomes.feed.wait_for_change(left_s)
+            await self._storage.outcomes.feed.wait_for_change(remaining_s)
         rows = _select_page(job.list_results(after))
         texts = await self._read_contents(
             job_id, [row.text for row in rows if row.text is not None]
@@ -201,7 +201,7 @@
         job = await self._find(job_id, exchange.host)
         item_id = exchange.query.get("id", "")
         for number, item in enumerate(job.items):
-            if item.id == item_id and not job.outcome.is_listed(number):
+            if item.id == item_id and not job.outcome.has_result(number):
                 contents_by_name = await self._read_contents(job_id, [item.body])
                 headers = httputil.HTTPHeaders(
                     {"Content-Type": "application/octet-stream"}
--- a/pimentowick/gateway/job_storage.py
+++ b/pimentowick/gateway/job_storage.py
@@ -55,15 +55,15 @@
         Raises:
             LogError: The timeout expired.
         """
-        ends_at = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         for partition_feed in self.feeds:
             while partition_feed.end is None:
-                left_s = ends_at - time.monotonic()
-                if left_s <= 0:
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0:
                     raise exception.LogError(
                         f"Jobs not loaded from the store within {timeout_s} s."
                     )
-                await partition_feed.wait_for_change(left_s)
+                await partition_feed.wait_for_change(remaining_s)
 
     async def refresh(self):
         """Read both partitions to their current ends.
@@ -84,9 +84,9 @@
         Raises:
             LogError: The job may be deleted only in part.
         """
-        await self.contents.drop_all(job.id)
-        await self.accepted.drop(job.id)
-        await self.outcomes.drop(list(job.outcome.keys))
+        await self.contents.delete_all(job.id)
+        await self.accepted.delete(job.id)
+        await self.outcomes.delete(list(job.outcome.keys))
 
     def get_staleness_s(self):
         """Return the age of the local state, in seconds."""
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -100,7 +100,7 @@
         """Whether the partition has been read to its end at least once."""
         return self.feed.end is not None
 
-    async def drop(self, job_id):
+    async def delete(self, job_id):
         """Delete the record of a job.
 
         Raises:
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -74,7 +74,7 @@
         Raises:
             LogError: The timeout expired; the records may still take effect.
         """
-        ends_at = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         change = _Change(build, asyncio.get_running_loop().create_future())
         self._pending.append(change)
         self._wake.set()
@@ -82,7 +82,7 @@
             async with asyncio.timeout(timeout_s):
                 await change.future
                 while build():
-                    await self.feed.wait_for_change(ends_at - time.monotonic())
+                    await self.feed.wait_for_change(deadline - time.monotonic())
         except TimeoutError:
             raise exception.LogError(
                 "No append was acknowledged before the timeout."
@@ -91,7 +91,7 @@
             if change in self._pending:
                 self._pending.remove(change)
 
-    async def drop(self, keys):
+    async def delete(self, keys):
         """Delete the outcome records of a deleted job.
 
         Raises:
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -110,12 +110,12 @@
         if not self._reachability.has_failed:
             await asyncio.sleep(pause_s)
             return
-        ends_at = time.monotonic() + pause_s
+        deadline = time.monotonic() + pause_s
         while not self._detect_peer_renewal():
-            left_s = ends_at - time.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
                 return
-            await asyncio.sleep(min(PEER_CHECK_INTERVAL_S, left_s))
+            await asyncio.sleep(min(PEER_CHECK_INTERVAL_S, remaining_s))
 
     def _detect_peer_renewal(self):
         """Return whether peers are newly seen to reach the store."""
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -155,8 +155,8 @@
             # With many entries, most of them own no partition.
             return IDLE_POLL_INTERVAL_S
         next_at = max(self._next_start_at, self._next_schedule_at)
-        left_s = next_at - time.monotonic()
-        return min(POLL_INTERVAL_S, left_s) if left_s > 0 else POLL_INTERVAL_S
+        remaining_s = next_at - time.monotonic()
+        return min(POLL_INTERVAL_S, remaining_s) if remaining_s > 0 else POLL_INTERVAL_S
 
     async def close(self):
         """Stop all runs and write their final checkpoints."""
@@ -398,13 +398,13 @@
                 decision.note_request("item.delayed", run.item.id, why=str(error))
             finally:
                 if run.task is asyncio.current_task():
-                    self._release(run)
+                    self._release_slot(run)
                     run.task = None
                 self.wake()
 
         run.task = asyncio.create_task(guard())
 
-    def _release(self, run):
+    def _release_slot(self, run):
         if run.target is not None:
             run.target.batch -= 1
             run.target = None
@@ -413,7 +413,7 @@
     def _cancel(self, run):
         if run.task is not None:
             task, run.task = run.task, None
-            self._release(run)
+            self._release_slot(run)
             task.cancel()
 
     def _hand_over(self, key, run, timeout_s):
@@ -466,7 +466,7 @@
             due_in_s=run.due_at - time.time(),
         )
         run.service_time.note_run(sink.events, time.monotonic() - started_at)
-        self._release(run)
+        self._release_slot(run)
         await self._handle_outcome(run, outcome, sink)
 
     async def _handle_outcome(self, run, outcome, sink):
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -52,7 +52,7 @@
         before = partition.end
         records = [b"record"]
 
-        def build(view):
+        def build(job_table):
             records.append(b"built")
             return []
 
@@ -119,7 +119,7 @@
         contents = one.storage.contents
         await contents.put("j", {"b/0/w": b"body", "t/0/x": b"piece"}, 5)
         kept = await contents.put("j2", {"b/0/w": b"body"}, 5)
-        await contents.drop_all("j")
+        await contents.delete_all("j")
         assert await contents.read_all("j") == {}
         assert await contents.read("j2", list(kept.values())) == {"b/0/w": b"body"}
 
@@ -168,8 +168,8 @@
             "j", "h", "/p/", 0.0, [job.Item("i", "/p", {}, 7, body)]
         )
 
-        def build(view):
-            return [] if "j" in view.jobs else [job_record]
+        def build(job_table):
+            return [] if "j" in job_table.jobs else [job_record]
 
         commit = one.storage.accepted.commit(build, 5)
         await run_with_first_answer_lost(fake_store, late_s, commit)
--- a/pimentowick/gateway/tests/test_ledger.py
+++ b/pimentowick/gateway/tests/test_ledger.py
@@ -14,10 +14,10 @@
     items = [job.Item(f"{job_id}-0", "/p", {}, 7, body)]
     job_record = record.make_job(job_id, "h", "/p/", 0.0, items)
 
-    def build(view):
-        if job_id in view.jobs:
+    def build(job_table):
+        if job_id in job_table.jobs:
             return []
-        if limit is not None and len(view.jobs) >= limit:
+        if limit is not None and len(job_table.jobs) >= limit:
             raise exception.ConflictError("full")
         return [job_record]
 
--- a/pimentowick/gateway/tests/test_transcript.py
+++ b/pimentowick/gateway/tests/test_transcript.py
@@ -16,7 +16,7 @@
         written = await self.storage.contents.put("j", {name: body}, 5)
         items = [job.Item("i", "/p", {}, 7, written[name])]
         job_record = record.make_job("j", "h", "/p/", 0.0, items)
-        await self.storage.accepted.commit(lambda view: [job_record], 5)
+        await self.storage.accepted.commit(lambda job_table: [job_record], 5)
 
     async def open_transcript(self):
         """Return a transcript loaded from the store, as a new owner does."""
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -155,7 +155,7 @@
         """Delete the body and the checkpoints of an item that has a result."""
         try:
             references = [self.item.body, *self._checkpoints]
-            await self._storage.contents.drop(self._job.id, references)
+            await self._storage.contents.delete(self._job.id, references)
         except exception.LogError as error:
             # They are deleted together with the job.
             decision.note_request("item.contents_kept", self.item.id, why=str(error))
