--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -26,7 +26,7 @@
 
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.8
-# With many partitions, reading the newest records of a job returns few other jobs.
+# With many partitions, reading a job by prefix scans few records of other jobs.
 TOPIC_COUNT = 16
 # Leaves room for the key and the framing within the store's limit of a record.
 RECORD_OVERHEAD_BYTES = 1_024
--- a/pimentowick/gateway/outcome_log.py
+++ b/pimentowick/gateway/outcome_log.py
@@ -85,7 +85,7 @@
                     await self.feed.wait_for_change(deadline - time.monotonic())
         except TimeoutError:
             raise exception.LogError(
-                "No append was acknowledged before the timeout."
+                "The records were not applied before the timeout."
             ) from None
         finally:
             if change in self._pending:
--- a/pimentowick/gateway/tests/test_feed.py
+++ b/pimentowick/gateway/tests/test_feed.py
@@ -20,14 +20,14 @@
         number = len(self.records)
         self.records.append(store.KeyedRecord(f"k{number}", b"x", number))
 
-    async def read_newest(self, topic, part, on_page):
+    async def read_newest(self, topic, partition, on_page):
         records = list(self.records)
         on_page(records[: self.page_records])
         self.read_started.set()
         await self.read_released.wait()
         return store.Page(records, len(records), len(records))
 
-    async def read(self, topic, part, offset, wait_s=0.0):
+    async def read(self, topic, partition, offset, wait_s=0.0):
         records = self.records[offset : offset + self.page_records]
         return store.Page(records, offset + len(records), len(self.records))
 
@@ -118,7 +118,7 @@
 class TwoPageStore(ManualStore):
     """A store that appends records between two pages of a snapshot."""
 
-    async def read_newest(self, topic, part, on_page):
+    async def read_newest(self, topic, partition, on_page):
         first = [record for record in self.records if record.key < "j"]
         end = len(self.records)
         self.records.append(store.KeyedRecord("b/job", b"body", end))
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -130,11 +130,11 @@
 UNANSWERED_S = 300.0
 
 
-async def run_with_first_answer_lost(fake_store, late_s, work):
+async def run_with_first_answer_lost(fake_store, late_s, coroutine):
     """Run a coroutine whose first append is not answered in time; return its result."""
     appends = fake_store.calls["/-/log-append"]
     fake_store.late_s = late_s
-    task = asyncio.create_task(work)
+    task = asyncio.create_task(coroutine)
     await wait.wait_for(lambda: fake_store.calls["/-/log-append"] > appends, 5, 0.001)
     fake_store.late_s = None
     return await task
--- a/pimentowick/gateway/tests/writer.py
+++ b/pimentowick/gateway/tests/writer.py
@@ -26,9 +26,9 @@
 
     async def start(self):
         await self.store.start()
-        for part in (self.storage.accepted, self.storage.outcomes):
-            for work in (part.feed.run, part.run):
-                self.tasks.append(asyncio.create_task(work()))
+        for log in (self.storage.accepted, self.storage.outcomes):
+            for run in (log.feed.run, log.run):
+                self.tasks.append(asyncio.create_task(run()))
 
     async def close(self):
         for task in self.tasks:
