--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -43,7 +43,7 @@
     @property
     def age_s(self):
         """Seconds since the request for the last confirmed configuration was sent."""
-        return self._feed.clock() - self._feed.proved_at
+        return self._feed.clock() - self._feed.fresh_at_boottime
 
     @property
     def enforces_max_age(self):
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -148,11 +148,11 @@
             self._on_partitions_change,
             self.neighbours.get_latest_peer_renewal,
         )
-        self.neighbours.get_renewal_age = self.ownership.get_age
+        self.neighbours.get_renewal_age = self.ownership.get_lease_age
         self._handover = handover.Handover(
             self.ownership, self.runner, self.storage, self.neighbours
         )
-        self.neighbours.get_held_partitions = self._handover.list_held
+        self.neighbours.get_held_partitions = self._handover.list_held_partitions
         request_relay = relay.Relay(
             self.admission, self.pools.get, target_health, self.metrics
         )
@@ -429,7 +429,7 @@
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_S)
             self._targets.remove_missing_targets()
-            await self._retention.remove_old()
+            await self._retention.remove_expired_jobs()
 
     async def _answer_readiness(self, request):
         status = 200 if self.is_ready else 503
@@ -467,7 +467,7 @@
             waiting=sum(map(self.admission.count_waiting, services)),
             targets=len(self.table.by_id),
             ejected=sum(listed.ejected for listed in self.table.by_id.values()),
-            open_jobs=len(self.storage.book.open_jobs),
+            open_jobs=len(self.storage.job_table.open_jobs),
             open_requests=self._caller_server.active_requests,
             store_calls=self.store.calls,
             store_bytes=self.store.bytes,
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -113,7 +113,7 @@
             )
         self._on_change()
 
-    def caught_up(self):
+    def on_caught_up(self):
         """Remove the targets that stay unlisted, if the grace period has passed."""
         self.remove_missing_targets()
 
@@ -124,7 +124,10 @@
     def remove_missing_targets(self):
         """Remove the targets that stay unlisted after the grace period."""
         now = time.monotonic()
-        if self.feed.lost_at is not None or now - self.feed.returned_at < REREGISTER_S:
+        if (
+            self.feed.unreachable_since is not None
+            or now - self.feed.recovered_at < REREGISTER_S
+        ):
             return
         for target_id in self._missing_since:
             decision_log.log_event("target.gone", target=target_id)
@@ -158,6 +161,6 @@
             return
         self._neighbours.add_member(record.key, domain, link_mbps)
 
-    def caught_up(self):
+    def on_caught_up(self):
         """Report that all entries listed in the store are known."""
         self._neighbours.on_members_listed()
--- a/pimentowick/gateway/peer_configuration.py
+++ b/pimentowick/gateway/peer_configuration.py
@@ -96,7 +96,9 @@
             self._configuration.apply_value(value)
         current = self._configuration.current
         if current is not None and current.version >= version:
-            self._feed.proved_at = max(self._feed.proved_at, requested_at - age_s)
+            self._feed.fresh_at_boottime = max(
+                self._feed.fresh_at_boottime, requested_at - age_s
+            )
             self._record_source(True, neighbour=address, version=current.version)
 
     async def handle_request(self, request):
@@ -112,7 +114,7 @@
         await request.answer_json(orjson.dumps(data))
 
     def _get_age(self):
-        return self._feed.clock() - self._feed.proved_at
+        return self._feed.clock() - self._feed.fresh_at_boottime
 
     def _record_source(self, uses_peer, **fields):
         if uses_peer != self._uses_peer:
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -179,7 +179,7 @@
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
         change_keys(site, [KEY, NEW_KEY])
-        feed.proved_at -= authentication.REFRESH_AGE_S
+        feed.fresh_at_boottime -= authentication.REFRESH_AGE_S
         assert (await send(site, NEW_KEY)).status == 200
 
     run_with(check)
@@ -189,7 +189,7 @@
     async def check(site, server):
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
-        stop_reads(site, gateway).proved_at -= authentication.REFRESH_AGE_S
+        stop_reads(site, gateway).fresh_at_boottime -= authentication.REFRESH_AGE_S
         answer = await send(site, NEW_KEY)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
@@ -202,7 +202,7 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = stop_reads(site, gateway)
-        feed.proved_at -= authentication.REFRESH_AGE_S
+        feed.fresh_at_boottime -= authentication.REFRESH_AGE_S
         asked = []
         refresh = feed.refresh
 
@@ -224,7 +224,7 @@
         gateway = site.gateways[0]
         feed = gateway._feeds["configuration"]
         gateway._supervisor.stop_child("feed configuration")
-        feed.proved_at -= authentication.REFRESH_AGE_S
+        feed.fresh_at_boottime -= authentication.REFRESH_AGE_S
         before = site.store.calls["/-/log-read"]
         refresh = feed.refresh
         asked = []
@@ -252,9 +252,9 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = gateway._feeds["configuration"]
-        feed.proved_at = feed.clock() - 4.5
+        feed.fresh_at_boottime = feed.clock() - 4.5
         assert (await send(site)).status == 200
-        feed.proved_at = feed.clock() - 5.0
+        feed.fresh_at_boottime = feed.clock() - 5.0
         answer = await send(site, request_id="r2")
         assert answer.status == 503
         assert (
@@ -293,9 +293,9 @@
         site.gateways[0]._supervisor.stop_child("feed configuration")
         times = iter([100.0, 104.0])
         feed.clock = lambda: next(times)
-        feed.proved_at = 0.0
+        feed.fresh_at_boottime = 0.0
         await feed.refresh()
-        assert feed.proved_at == 100.0
+        assert feed.fresh_at_boottime == 100.0
 
     run_with(check)
 
@@ -307,7 +307,7 @@
         gateway = site.gateways[0]
         gateway._supervisor.stop_child("feed configuration")
         feed = gateway._feeds["configuration"]
-        feed.proved_at = feed.clock() - 3.0
+        feed.fresh_at_boottime = feed.clock() - 3.0
         assert gateway.is_ready
         gateway.authentication._is_cut_off = lambda: True
         assert not gateway.is_ready
@@ -383,7 +383,7 @@
         server.gap_s = 5.0
         assert (await submit(site, KEY)).status == 202
         assert (await submit(site, OTHER_KEY)).status == 202
-        assert len(site.gateways[0].storage.book.jobs) == 2
+        assert len(site.gateways[0].storage.job_table.jobs) == 2
 
     run_with(check)
 
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -31,7 +31,7 @@
     """Stop the configuration feed of an entry and set the age of its configuration."""
     gateway._supervisor.stop_child("feed configuration")
     feed = gateway._feeds["configuration"]
-    feed.proved_at = feed.clock() - age_s
+    feed.fresh_at_boottime = feed.clock() - age_s
     return feed
 
 
@@ -57,7 +57,9 @@
         site.publish([CHAT])
         await wait.wait_for(lambda: other.configuration.current.version == 2, 10, 0.01)
         await wait.wait_for(
-            lambda: feed.clock() - feed.proved_at < peer_configuration.FETCH_AGE_S,
+            lambda: (
+                feed.clock() - feed.fresh_at_boottime < peer_configuration.FETCH_AGE_S
+            ),
             10,
             0.01,
         )
@@ -71,12 +73,12 @@
 def test_isolated_entries_do_not_renew_each_other():
     async def check(site):
         feeds = [isolate(gateway, 6.0) for gateway in site.gateways]
-        proved_at = max(feed.proved_at for feed in feeds)
+        fresh_at_boottime = max(feed.fresh_at_boottime for feed in feeds)
         for gateway, other in zip(site.gateways, reversed(site.gateways), strict=True):
             address = other.neighbours.address
             await gateway._peer_configuration.fetch_from_peer(address)
         # None is fresher than the freshest was before.
-        assert all(feed.proved_at <= proved_at for feed in feeds)
+        assert all(feed.fresh_at_boottime <= fresh_at_boottime for feed in feeds)
         assert await send(site, "k3y-1") == 503
 
     run_with(check)
@@ -86,7 +88,7 @@
     """Return feed and fetcher of an entry whose neighbour answers with a body."""
     gateway._supervisor.stop_child("peer configuration")
     feed = isolate(gateway, 6.0)
-    feed.proved_at = 0.0
+    feed.fresh_at_boottime = 0.0
     clock = iter(times)
     feed.clock = lambda: next(clock)
     fetcher = gateway._peer_configuration
@@ -104,7 +106,7 @@
         body = b'{"version": 1, "age_s": 1.0, "record": null}'
         feed, fetcher = make_fetcher(site.gateways[0], body, [100.0, 104.0, 104.0])
         await fetcher.fetch_from_peer("127.0.0.1:1")
-        assert feed.proved_at == 99.0
+        assert feed.fresh_at_boottime == 99.0
 
     run_with(check)
 
@@ -126,7 +128,7 @@
     async def check(site):
         feed, fetcher = make_fetcher(site.gateways[0], body, [100.0] * 5)
         await fetcher.fetch_from_peer("127.0.0.1:1")
-        assert feed.proved_at == 0.0
+        assert feed.fresh_at_boottime == 0.0
         assert site.gateways[0].configuration.current.version == 1
 
     run_with(check)
