--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -304,10 +304,10 @@
     rng = random.Random(19)
     held = [f"m{rng.randrange(20)}" for _ in range(count)]
     engines = [
-        plan.Engine(f"agent-{i}", DOMAINS[i % len(DOMAINS)], {model}, slots=slots)
+        plan.EngineState(f"agent-{i}", DOMAINS[i % len(DOMAINS)], {model}, slots=slots)
         for i, model in enumerate(held)
     ]
-    wanted = [plan.Wanted(f"m{i}", "", count // 10) for i in range(20)]
+    wanted = [plan.DesiredModel(f"m{i}", "", count // 10) for i in range(20)]
     began = time.perf_counter()
     plan.make_plan(wanted, engines, 2)
     return (time.perf_counter() - began) * 1e3
--- a/pimentowick/agent/daemon.py
+++ b/pimentowick/agent/daemon.py
@@ -328,7 +328,7 @@
                     retry_after=0.1,
                 )
             )
-        if usage.needs_any(work, self.orders.leaving):
+        if usage.needs_any(work, self.orders.unloading):
             raise exception.RefusedError(
                 verdict.Refusal(
                     503,
--- a/pimentowick/batch/note.py
+++ b/pimentowick/batch/audit.py
@@ -8,16 +8,22 @@
 
 import dataclasses
 
-__all__ = ["NOTES_LIMIT", "Note", "note_cancelled", "note_claim", "note_release"]
-
-NOTES_LIMIT = 500
+__all__ = [
+    "MAX_AUDIT_EVENTS",
+    "AuditEvent",
+    "make_cancellation_event",
+    "make_claim_event",
+    "make_release_event",
+]
+
+MAX_AUDIT_EVENTS = 500
 """Notes that one ledger keeps."""
 TEXT_LIMIT = 200
 """Characters that a note keeps of a text, so that a dump stays bounded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
+class AuditEvent:
     """What became of one record.
 
     Attributes:
@@ -49,10 +55,10 @@
     id: str
 
 
-def note_claim(offset, record, epoch, accepted):
+def make_claim_event(offset, record, epoch, accepted):
     """Return the note on a claim that was read while `epoch` was in force."""
     reason = "" if accepted else f"conflict: epoch {epoch} is in force"
-    return Note(
+    return AuditEvent(
         offset=offset,
         at=_get_time(record),
         by=_get_text(record, "owner"),
@@ -68,9 +74,9 @@
     )
 
 
-def note_release(offset, owner, epoch):
+def make_release_event(offset, owner, epoch):
     """Return the note on a release that took effect."""
-    return Note(
+    return AuditEvent(
         offset=offset,
         at=0.0,
         by=owner[:TEXT_LIMIT],
@@ -86,10 +92,10 @@
     )
 
 
-def note_cancelled(offset, record, job):
+def make_cancellation_event(offset, record, job):
     """Return the note on a cancellation of `job`, as it was before."""
     accepted = job.state == "open"
-    return Note(
+    return AuditEvent(
         offset=offset,
         at=_get_time(record),
         by=_get_text(record, "by"),
--- a/pimentowick/batch/call.py
+++ b/pimentowick/batch/call.py
@@ -15,7 +15,7 @@
 from pimentowick import exception, supervisor, verdict
 from pimentowick.batch import record as batch_record
 
-__all__ = ["CallBook"]
+__all__ = ["CallRegistry"]
 
 MAX_KEPT_ANSWER = 100_000
 SETTLE_PAUSE_S = 0.5
@@ -25,7 +25,7 @@
 IN_PROGRESS_RETRY_AFTER_S = 1.0
 
 
-class CallBook:
+class CallRegistry:
     """Claims keyed calls and records how they ended.
 
     Args:
@@ -97,7 +97,7 @@
         return _answer_known(call, digest)
 
     def _give_up(self, shard, call_id, request_id):
-        self.settle(shard, call_id, request_id, verdict.Verdict.NOT_RUN, None)
+        self.record_outcome(shard, call_id, request_id, verdict.Verdict.NOT_RUN, None)
         if len(self._given_up) >= MAX_UNSETTLED:
             self._given_up.pop(next(iter(self._given_up)))
         self._given_up[request_id] = (shard, call_id, time.monotonic())
@@ -114,13 +114,13 @@
                 shard, call_id, since = entry
                 call = shard.ledger.calls.get(call_id)
                 if call and call.request == request_id and call.verdict is None:
-                    self.settle(
+                    self.record_outcome(
                         shard, call_id, request_id, verdict.Verdict.NOT_RUN, None
                     )
                 if time.monotonic() - since > LATE_S:
                     del self._given_up[request_id]
 
-    def settle(self, shard, call_id, request_id, found, answer):
+    def record_outcome(self, shard, call_id, request_id, found, answer):
         """Record how a claimed call ended, as soon as the log takes it.
 
         Args:
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -26,7 +26,7 @@
 
 __all__ = ["Dispatcher"]
 
-FRESH_S = 2.0
+MAX_LOG_LAG_S = 2.0
 TURN_S = 0.25
 STOP_TIMEOUT_S = 1.0
 READ_PAUSE_S = 0.5
@@ -132,7 +132,7 @@
             await asyncio.sleep(TURN_S / 5)
         await self._writer.flush()
 
-    def is_fresh(self):
+    def is_caught_up(self):
         """Return whether the ledgers of all owned shards are up to date.
 
         Only then may leases be renewed: a process that can't read the log would not
@@ -140,9 +140,9 @@
         """
         now = time.monotonic()
         return all(
-            now - shard.replica.fresh_at < FRESH_S
+            now - shard.replica.caught_up_at < MAX_LOG_LAG_S
             for shard in self._table.list_owned()
-            if shard.replica.fresh_at is not None
+            if shard.replica.caught_up_at is not None
         )
 
     async def stop_job(self, job_id):
@@ -264,8 +264,8 @@
     def _may_use(self, peer, shard):
         # A lease that is younger than the last look into the log was granted to a
         # process that may have slept: the log may hold a cancellation since.
-        fresh_at = shard.replica.fresh_at
-        return bool(peer.lease) and not peer.solo and fresh_at > peer.lease_since
+        caught_up_at = shard.replica.caught_up_at
+        return bool(peer.lease) and not peer.solo and caught_up_at > peer.lease_since
 
     def _start(self, work, item, peer, solo):
         peer.batch += 1
@@ -399,7 +399,7 @@
     async def _read_chunk(self, work, number):
         shard = work.shard
         offset = shard.ledger.find_chunk(work.job, number).offset
-        page = await shard.read_one(offset)
+        page = await shard.read_record(offset)
         if page.records and page.records[0][0] == offset:
             return page.records[0][1]["items"]
         # It may have been appended again further on. Only a copy that is up to date
--- a/pimentowick/batch/intake.py
+++ b/pimentowick/batch/intake.py
@@ -23,7 +23,7 @@
 # What is parsed or encoded in one turn of the loop, in lines and in bytes; more
 # would delay online requests.
 LINES_PER_TURN = 100
-TURN_BYTES = 262_144
+MAX_BYTES_PER_YIELD = 262_144
 MAX_LINE_BYTES = 1_048_576
 RECORDS_PER_APPEND = 8
 # Room in a record for what stands beside the items.
@@ -109,7 +109,7 @@
     async def take(self, size):
         self._lines += 1
         self._bytes += size
-        if self._lines >= LINES_PER_TURN or self._bytes >= TURN_BYTES:
+        if self._lines >= LINES_PER_TURN or self._bytes >= MAX_BYTES_PER_YIELD:
             self._lines = self._bytes = 0
             await asyncio.sleep(0)
 
--- a/pimentowick/batch/ledger.py
+++ b/pimentowick/batch/ledger.py
@@ -23,10 +23,10 @@
 import math
 
 from pimentowick import exception
-from pimentowick.batch import note as batch_note
+from pimentowick.batch import audit as batch_audit
 from pimentowick.batch import record as batch_record
 from pimentowick.batch import state
-from pimentowick.replication import fold
+from pimentowick.replication import state_machine
 
 __all__ = ["Ledger"]
 
@@ -37,7 +37,7 @@
 DUMP_NOTES = 50
 
 
-class Ledger(fold.Fold):
+class Ledger(state_machine.StateMachine):
     """Jobs, calls and ownership of one shard.
 
     Attributes:
@@ -47,8 +47,8 @@
         calls: `pimentowick.batch.state.Call` by id.
         owner_offset: Offset of the last record that shows the owner alive.
         fenced: Records read whose epoch was over; no part of the state.
-        notes: `pimentowick.batch.note.Note` of the newest claims, releases and
-            cancellations, oldest first.
+        audit_events: `pimentowick.batch.audit.AuditEvent` objects of the latest claims,
+            releases and cancellations, oldest first.
 
     Examples:
         >>> ledger = Ledger()
@@ -66,7 +66,7 @@
         self.epoch = 0
         self.owner = None
         self.owner_offset = -1
-        self.notes = collections.deque(maxlen=batch_note.NOTES_LIMIT)
+        self.audit_events = collections.deque(maxlen=batch_audit.MAX_AUDIT_EVENTS)
         self.jobs = {}
         self.calls = {}
         self._ended_calls = 0
@@ -80,7 +80,7 @@
     # The handlers, by type of record.
 
     def apply(self, offset, record):
-        """Apply one record; see `pimentowick.replication.fold.Fold.apply`."""
+        """Apply one record; see `StateMachine.apply`."""
         try:
             handle = self._HANDLERS.get(record.get("type"))
             if handle is not None:
@@ -94,7 +94,9 @@
         epoch = _get(record, "epoch", int)
         owner = _get(record, "owner", str)
         accepted = epoch == self.epoch + 1
-        self.notes.append(batch_note.note_claim(offset, record, self.epoch, accepted))
+        self.audit_events.append(
+            batch_audit.make_claim_event(offset, record, self.epoch, accepted)
+        )
         if not accepted:
             return
         self.owner = owner
@@ -103,7 +105,9 @@
 
     def _apply_release(self, offset, record):
         if self._is_current(record):
-            self.notes.append(batch_note.note_release(offset, self.owner, self.epoch))
+            self.audit_events.append(
+                batch_audit.make_release_event(offset, self.owner, self.epoch)
+            )
             self.owner = None
             self.owner_offset = offset
 
@@ -165,7 +169,9 @@
         job = self.jobs[record["job"]]
         by = _get(record, "by", str)
         at = _get_time(record, job.at)
-        self.notes.append(batch_note.note_cancelled(offset, record, job))
+        self.audit_events.append(
+            batch_audit.make_cancellation_event(offset, record, job)
+        )
         if job.state == state.OPEN:
             job.end(state.CANCELLED, at)
             job.cancelled_by = by
@@ -310,7 +316,7 @@
     # Carrying the state forward.
 
     def dump(self):
-        """Return the state in parts; see `pimentowick.replication.fold.Fold`."""
+        """Return the state in parts; see `StateMachine.dump`."""
         head = {
             "epoch": self.epoch,
             "owner": self.owner,
@@ -324,9 +330,9 @@
         calls = [dataclasses.asdict(call) for call in self.calls.values()]
         for start in range(0, len(calls), DUMP_CALLS):
             parts.append({"calls": calls[start : start + DUMP_CALLS]})
-        notes = [dataclasses.asdict(note) for note in self.notes]
-        for start in range(0, len(notes), DUMP_NOTES):
-            parts.append({"notes": notes[start : start + DUMP_NOTES]})
+        audit_events = [dataclasses.asdict(event) for event in self.audit_events]
+        for start in range(0, len(audit_events), DUMP_NOTES):
+            parts.append({"notes": audit_events[start : start + DUMP_NOTES]})
         return parts
 
     def _dump_orphans(self):
@@ -397,7 +403,9 @@
         elif "results_of" in part:
             self._load_results(part)
         elif "notes" in part:
-            self.notes.extend(batch_note.Note(**data) for data in part["notes"])
+            self.audit_events.extend(
+                batch_audit.AuditEvent(**data) for data in part["notes"]
+            )
         else:
             for call in part["calls"]:
                 self.calls[call["id"]] = state.Call(**call)
--- a/pimentowick/batch/ownership.py
+++ b/pimentowick/batch/ownership.py
@@ -130,7 +130,7 @@
             watch.silent_s = 0.0
 
     def _reads(self, shard):
-        age = time.monotonic() - shard.replica.fresh_at
+        age = time.monotonic() - shard.replica.caught_up_at
         # A read that the log held open is as old as that when it ends. Without room
         # for it a short takeover time would never be counted to its end.
         limit = self._settings.takeover_s / RENEWS_PER_TAKEOVER
--- a/pimentowick/batch/carry.py
+++ b/pimentowick/batch/relocation.py
@@ -12,16 +12,16 @@
 
 from pimentowick.batch import record as batch_record
 from pimentowick.batch import shard as batch_shard
-from pimentowick.replication import keeper
+from pimentowick.replication import checkpoint_writer
 
-__all__ = ["Carrier"]
+__all__ = ["RecordRelocator"]
 
 # With checkpoints in time, what the last one doesn't cover is younger than a period.
 # After a longer gap its age is unknown, and all that is needed is carried.
 GAP_PERIODS = 1.5
 
 
-class Carrier:
+class RecordRelocator:
     """Knows what this entry has to carry forward.
 
     Args:
@@ -37,14 +37,22 @@
         self._settings = settings
         self._metrics = metrics
 
-    def list_kept(self):
-        """Return the `pimentowick.replication.keeper.Kept` of this entry."""
+    def list_checkpointed_streams(self):
+        """Return the `CheckpointedStream` of each stream that this entry follows."""
         names = self._table.list_names()
         order = batch_shard.rank_entries(self._configuration.stream, names)
-        kept = [keeper.Kept(self._configuration, self._get_rank(order))]
+        kept = [
+            checkpoint_writer.CheckpointedStream(
+                self._configuration, self._get_rank(order)
+            )
+        ]
         for number, shard in self._table.followed.items():
             rank = self._get_rank(self._table.list_followers(number))
-            kept.append(keeper.Kept(shard.replica, rank, self._make_carry(shard)))
+            kept.append(
+                checkpoint_writer.CheckpointedStream(
+                    shard.replica, rank, self._make_carry(shard)
+                )
+            )
         return kept
 
     def _get_rank(self, order):
@@ -67,25 +75,25 @@
             if job.ended_at is not None and job.ended_at < before
         ]
         if expired:
-            await keeper.append_patiently(shard.replica, expired)
+            await checkpoint_writer.append_with_retry(shard.replica, expired)
             await shard.replica.catch_up(self._settings.append_s)
             logger.info("carry: {} jobs of {} expired.", len(expired), shard.stream)
 
     async def _append_again(self, shard):
         replica = shard.replica
         limit = replica.checkpoint_covers
-        gap = GAP_PERIODS * keeper.get_period(self._settings)
+        gap = GAP_PERIODS * checkpoint_writer.get_checkpoint_interval(self._settings)
         if replica.get_checkpoint_age() >= gap:
             limit = replica.offset
         offsets = [each for each in shard.ledger.list_needed_offsets() if each < limit]
         group = []
         for offset in offsets:
-            page = await shard.read_one(offset)
+            page = await shard.read_record(offset)
             if not page.records or page.records[0][0] != offset:
                 logger.error("carry: Record {} of {} is gone.", offset, shard.stream)
                 continue
             group.append(page.records[0][1])
-            if len(group) == keeper.RECORDS_PER_APPEND:
+            if len(group) == checkpoint_writer.RECORDS_PER_APPEND:
                 await self._append_group(replica, group)
                 group = []
         await self._append_group(replica, group)
@@ -94,5 +102,5 @@
 
     async def _append_group(self, replica, group):
         if group:
-            await keeper.append_patiently(replica, group)
+            await checkpoint_writer.append_with_retry(replica, group)
             self._metrics.count_carried(len(group))
--- a/pimentowick/batch/shard.py
+++ b/pimentowick/batch/shard.py
@@ -67,7 +67,7 @@
         """Name of the stream in the log."""
         return self.replica.stream
 
-    async def read_one(self, offset):
+    async def read_record(self, offset):
         """Return the `pimentowick.external.log.Page` of the record at an offset.
 
         The page is empty, or begins further on, if the log has dropped the record.
--- a/pimentowick/configuration/fold.py
+++ b/pimentowick/configuration/fold.py
@@ -7,7 +7,7 @@
 
 from pimentowick import exception
 from pimentowick.configuration import border, document, template, tokens, workspace
-from pimentowick.replication import fold
+from pimentowick.replication import state_machine
 
 __all__ = ["ConfigurationFold"]
 
@@ -27,7 +27,7 @@
 DUPLICATE = "duplicate: the id was seen before"
 
 
-class ConfigurationFold(fold.Fold):
+class ConfigurationFold(state_machine.StateMachine):
     """Templates, workspaces and fleet settings as the log has them.
 
     Attributes:
--- a/pimentowick/entry/configuration.py
+++ b/pimentowick/entry/configuration.py
@@ -127,8 +127,8 @@
     `lag_s` is the age of the last read that reached the head of the configuration
     stream, in seconds; None before the first.
     """
-    fresh_at = entry.configuration_replica.fresh_at
-    lag_s = None if fresh_at is None else round(time.monotonic() - fresh_at, 3)
+    caught_up_at = entry.configuration_replica.caught_up_at
+    lag_s = None if caught_up_at is None else round(time.monotonic() - caught_up_at, 3)
     return {
         "version": entry.configuration.version,
         "state": entry.state,
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -12,7 +12,7 @@
 from pimentowick import tls
 from pimentowick import web as http_web
 from pimentowick.batch import call as batch_call
-from pimentowick.batch import carry, dispatch, ownership, shard, writer
+from pimentowick.batch import dispatch, ownership, relocation, shard, writer
 from pimentowick.configuration import fold as configuration_fold
 from pimentowick.configuration import tokens
 from pimentowick.entry import (
@@ -29,8 +29,8 @@
 )
 from pimentowick.external import adapter
 from pimentowick.membership import fleet as membership_fleet
-from pimentowick.placement import decider
-from pimentowick.replication import keeper, replica
+from pimentowick.placement import placement_controller
+from pimentowick.replication import checkpoint_writer, replica
 from pimentowick.routing import affinity, balance, limits, router
 
 __all__ = [
@@ -90,7 +90,7 @@
         self.fleet = membership_fleet.Fleet(
             hosts, self.client, settings, self.owner, self._is_fresh
         )
-        self.decider = decider.Decider(
+        self.placement_controller = placement_controller.PlacementController(
             log,
             self.fleet,
             self.client,
@@ -104,14 +104,16 @@
         )
         self.writer = writer.ResultWriter(settings)
         self.dispatcher = self._make_dispatcher()
-        carrier = carry.Carrier(
+        relocator = relocation.RecordRelocator(
             self.table, self.configuration_replica, settings, self.metrics
         )
-        self.keeper = keeper.Keeper(settings, carrier.list_kept, self.metrics)
+        self.checkpoint_writer = checkpoint_writer.CheckpointWriter(
+            settings, relocator.list_checkpointed_streams, self.metrics
+        )
         self.bootstrap = peer.Bootstrap(
             self.configuration_replica, self.fleet, self.client, settings.name
         )
-        self.calls = batch_call.CallBook(settings, self.owner)
+        self.calls = batch_call.CallRegistry(settings, self.owner)
         self.router = self._make_router()
         self._operators = {
             entry.id: tokens.Entry(entry.id, entry.salt, entry.hash, entry.name)
@@ -139,7 +141,7 @@
         return log, make_hosts(platform.hosts, self._platform_client)
 
     def _is_fresh(self):
-        return self.dispatcher.is_fresh()
+        return self.dispatcher.is_caught_up()
 
     def _make_dispatcher(self):
         return dispatch.Dispatcher(
@@ -217,9 +219,9 @@
         await self.ownership.start()
         await self.writer.start()
         await self.dispatcher.start()
-        await self.decider.start()
+        await self.placement_controller.start()
         await self.calls.start()
-        await self.keeper.start()
+        await self.checkpoint_writer.start()
         await self.bootstrap.start()
         await self._server.start()
         self.state = READY
@@ -249,7 +251,7 @@
         self._server.stop_listening()
         await self.dispatcher.drain(max(0.0, deadline - loop.time()))
         await self.ownership.release_all()
-        await self.decider.release()
+        await self.placement_controller.release()
         cut = await self._server.drain(max(0.0, deadline - loop.time()))
         await self.calls.drain(max(0.0, deadline - loop.time()))
         if cut:
@@ -260,8 +262,8 @@
         await self._server.close()
         for part in (
             self.bootstrap,
-            self.keeper,
-            self.decider,
+            self.checkpoint_writer,
+            self.placement_controller,
             self.dispatcher,
             self.ownership,
             self.writer,
--- a/pimentowick/entry/job.py
+++ b/pimentowick/entry/job.py
@@ -230,7 +230,7 @@
         while offset != shard.ledger.results[ref]:
             # It may be appended again further on while this reads.
             offset = shard.ledger.results[ref]
-            page = await shard.read_one(offset)
+            page = await shard.read_record(offset)
             if page.records and page.records[0][0] == offset:
                 return page.records[0][1]
         if page.first <= offset:
@@ -293,9 +293,9 @@
             return
         await self._order_agents(job)
         # An owner that does not answer has either read the cancellation or can't
-        # renew a lease later than FRESH_S after it. The last heartbeat may be on
+        # renew a lease later than MAX_LOG_LAG_S after it. The last heartbeat may be on
         # its way for as long as it may take; then the lease lapses.
-        renewed_s = dispatch.FRESH_S + membership_fleet.HEARTBEAT_TIMEOUT_S
+        renewed_s = dispatch.MAX_LOG_LAG_S + membership_fleet.HEARTBEAT_TIMEOUT_S
         await asyncio.sleep(renewed_s + self._get_longest_lease() + STOP_MARGIN_S)
 
     async def _order_agents(self, job):
--- a/pimentowick/entry/peer.py
+++ b/pimentowick/entry/peer.py
@@ -20,7 +20,7 @@
         """Answer with the state and the offset up to which it holds."""
         self.check_ready()
         follower = self.entry.configuration_replica
-        dump = {"covers": follower.offset, "parts": follower.fold.dump()}
+        dump = {"covers": follower.offset, "parts": follower.state_machine.dump()}
         self.write_json(dump)
 
 
@@ -67,7 +67,7 @@
         if not dumps or self._replica.ready:
             return
         newest = max(dumps, key=lambda dump: dump["covers"])
-        if self._replica.adopt(newest["covers"], newest["parts"]):
+        if self._replica.install_state(newest["covers"], newest["parts"]):
             self._replica.ready = True
             logger.info("bootstrap: Took the configuration of another entry.")
 
--- a/pimentowick/entry/service.py
+++ b/pimentowick/entry/service.py
@@ -92,7 +92,7 @@
         finally:
             # The caller has its answer at once; the log has the end a moment later.
             # Whoever asks in between hears that the call is in progress.
-            self.entry.calls.settle(shard, call_id, request.id, found, answer)
+            self.entry.calls.record_outcome(shard, call_id, request.id, found, answer)
         self._write_answer(answer)
 
     def _is_idempotent(self, use):
--- a/pimentowick/entry/tests/test_cancel.py
+++ b/pimentowick/entry/tests/test_cancel.py
@@ -201,7 +201,7 @@
         runs, counts = await check_stopped(fleet, job_id, other)
         # Until then it still renews its leases, and would start items.
         dispatcher = fleet.entries[owner].dispatcher
-        await fleet.wait_for(lambda: not dispatcher.is_fresh())
+        await fleet.wait_for(lambda: not dispatcher.is_caught_up())
         tap.reads.set()
         await check_still_stopped(fleet, job_id, other, runs, counts)
 
@@ -218,7 +218,7 @@
     async def check(fleet):
         job_id, owner, _ = await start_job(fleet)
         replica = fleet.entries[owner].table.find(job_id).replica
-        assert replica.adopt(replica.offset, replica.fold.dump())
+        assert replica.install_state(replica.offset, replica.state_machine.dump())
         other = fleet.entries[get_other(fleet, owner)]
         cancelled = batch_record.make_cancelled(job_id, "a", 0.0)
         await other.table.find(job_id).replica.append([cancelled], 5)
--- a/pimentowick/entry/watch.py
+++ b/pimentowick/entry/watch.py
@@ -42,7 +42,7 @@
                 await replica.applied.wait()
 
     def _tell(self):
-        configuration = self._replica.fold
+        configuration = self._replica.state_machine
         if self._next_offset is None:
             version = configuration.version
             logger.info("configuration: Version {} is in force.", version)
--- a/pimentowick/metrics.py
+++ b/pimentowick/metrics.py
@@ -211,9 +211,9 @@
         self._ejections.set({}, daemon.fleet.ejections)
         self._fenced.set({}, sum(shard.ledger.fenced for shard in followed))
         self._version.set({}, daemon.configuration.version)
-        fresh_at = daemon.configuration_replica.fresh_at
-        if fresh_at is not None:
-            self._lag.set({}, time.monotonic() - fresh_at)
+        caught_up_at = daemon.configuration_replica.caught_up_at
+        if caught_up_at is not None:
+            self._lag.set({}, time.monotonic() - caught_up_at)
         self._running.set({}, daemon.limits.running)
         self._shards.set({}, len(owned))
         jobs = sum(len(shard.ledger.list_open_jobs()) for shard in owned)
--- a/pimentowick/placement/claim.py
+++ b/pimentowick/placement/claim.py
@@ -7,12 +7,12 @@
 """
 
 from pimentowick.external import log as external_log
-from pimentowick.replication import fold, replica
+from pimentowick.replication import replica, state_machine
 
 __all__ = [
     "STREAM",
-    "ClaimFold",
     "ClaimReplica",
+    "ClaimStateMachine",
     "make_claim",
     "make_release",
     "make_renew",
@@ -42,16 +42,16 @@
     return {"id": external_log.make_id(), "type": RELEASE, "fence": fence}
 
 
-class ClaimFold(fold.Fold):
+class ClaimStateMachine(state_machine.StateMachine):
     """The claim in force.
 
     Attributes:
         fence: Its fencing number; 0 while there is none.
         owner: The decider, or None.
-        shown_at: Offset of its last record.
+        owner_offset: Offset of its last record.
 
     Examples:
-        >>> claims = ClaimFold()
+        >>> claims = ClaimStateMachine()
         >>> claims.apply(4, make_claim("a"))
         >>> claims.apply(5, make_claim("b"))
         >>> claims.apply(6, make_renew("a", 5))
@@ -62,10 +62,10 @@
     def __init__(self):
         self.fence = 0
         self.owner = None
-        self.shown_at = -1
+        self.owner_offset = -1
 
     def apply(self, offset, record):
-        """Apply one record; see `pimentowick.replication.fold.Fold.apply`."""
+        """Apply one record; see `StateMachine.apply`."""
         kind, owner = record.get("type"), record.get("owner")
         if kind == CLAIM and isinstance(owner, str):
             self._put(offset + 1, owner, offset)
@@ -85,15 +85,19 @@
     def _put(self, fence, owner, offset):
         self.fence = fence
         self.owner = owner
-        self.shown_at = offset
+        self.owner_offset = offset
 
     def dump(self):
-        """Return the state; see `pimentowick.replication.fold.Fold.dump`."""
-        state = {"fence": self.fence, "owner": self.owner, "shown_at": self.shown_at}
+        """Return the state; see `StateMachine.dump`."""
+        state = {
+            "fence": self.fence,
+            "owner": self.owner,
+            "shown_at": self.owner_offset,
+        }
         return [state]
 
     def load(self, parts):
-        """Replace the state; see `pimentowick.replication.fold.Fold.load`."""
+        """Replace the state; see `StateMachine.load`."""
         state = parts[0]
         self._put(state["fence"], state["owner"], state["shown_at"])
 
@@ -106,12 +110,12 @@
     """
 
     def __init__(self, log):
-        super().__init__(log, STREAM, ClaimFold(), lambda: READ_WAIT_S)
+        super().__init__(log, STREAM, ClaimStateMachine(), lambda: READ_WAIT_S)
 
     def _begin_recovery(self, first):
         self.offset = first
 
-    async def confirm(self):
+    async def is_up_to_date(self):
         """Return whether the fold holds all that the log holds now.
 
         The task that follows may have a read under way that began long ago; an own
--- a/pimentowick/placement/executor.py
+++ b/pimentowick/placement/executor.py
@@ -48,14 +48,14 @@
     Attributes:
         boot: Id of this process.
         fence: Highest fencing number seen; 0 before any.
-        leaving: ``(kind, name)`` of what is or may be going away.
+        unloading: ``(kind, name)`` of what is or may be going away.
         versions: Version by ``(kind, name)`` of what this process loaded.
     """
 
     def __init__(self, engine, weights, drain, settle_s):
         self.boot = secrets.token_hex(BOOT_BYTES)
         self.fence = 0
-        self.leaving = set()
+        self.unloading = set()
         self.versions = {}
         self._engine = engine
         self._weights = weights
@@ -151,7 +151,7 @@
         key = (order.kind, order.name)
         if order.action == placement_order.UNLOAD:
             # From now on the agent refuses requests for it as not run.
-            self.leaving.add(key)
+            self.unloading.add(key)
             await self._drain(*key)
             return
         wanted = (*key, order.version)
@@ -189,7 +189,7 @@
             return
         self._current = None
         if state != placement_order.UNKNOWN:
-            self.leaving.discard((order.kind, order.name))
+            self.unloading.discard((order.kind, order.name))
         self._ended[order.id] = (state, error)
         self._ended.move_to_end(order.id)
         if len(self._ended) > ENDED_KEPT:
@@ -213,7 +213,7 @@
                 names.add(name)
             elif each == kind:
                 names.discard(name)
-        return sorted(name for name in names if (kind, name) not in self.leaving)
+        return sorted(name for name in names if (kind, name) not in self.unloading)
 
     def describe(self, models, adapters):
         """Return what heartbeat answers say about the orders.
--- a/pimentowick/placement/decider.py
+++ b/pimentowick/placement/placement_controller.py
@@ -19,7 +19,7 @@
 from pimentowick.placement import order as placement_order
 from pimentowick.placement import plan as placement_plan
 
-__all__ = ["Decider"]
+__all__ = ["PlacementController"]
 
 TICK_S = 0.1
 IDLE_TURNS_PER_TAKEOVER = 12
@@ -39,7 +39,7 @@
 PLACES_SHARE = 0.5
 
 
-class Decider:
+class PlacementController:
     """One entry's part in the placement.
 
     Args:
@@ -103,7 +103,7 @@
 
     @property
     def _claims(self):
-        return self.replica.fold
+        return self.replica.state_machine
 
     @property
     def is_owner(self):
@@ -141,8 +141,8 @@
 
     async def _keep_claim(self, elapsed):
         claims = self._claims
-        if claims.shown_at != self._shown_at:
-            self._shown_at = claims.shown_at
+        if claims.owner_offset != self._shown_at:
+            self._shown_at = claims.owner_offset
             self._silent_s = 0.0
         elif self._reads():
             self._silent_s += elapsed
@@ -159,7 +159,7 @@
     def _reads(self):
         # A read that waits for a record is this old already when it ends.
         least = FRESH_READS * placement_claim.READ_WAIT_S
-        age = time.monotonic() - self.replica.fresh_at
+        age = time.monotonic() - self.replica.caught_up_at
         return age < max(least, self._settings.takeover_s / RENEWS_PER_TAKEOVER)
 
     def _get_patience(self):
@@ -230,7 +230,7 @@
         fence = self._fence
         try:
             # After the boot ids were heard, see `pimentowick.placement.executor`.
-            confirmed = await self.replica.confirm()
+            confirmed = await self.replica.is_up_to_date()
         except exception.LogError as error:
             logger.warning("placement: The claim is not confirmed. {}", error)
             return
@@ -305,9 +305,11 @@
             else:
                 reported[name] = reported.get(name, set()) | models
         for name in reported.keys() - known:
-            maybe = reported[name] - self._get_leaving(name)
+            probable_models = reported[name] - self._get_leaving(name)
             engines.append(
-                placement_plan.Engine(name, "", set(), busy=True, maybe=maybe)
+                placement_plan.EngineState(
+                    name, "", set(), busy=True, probable_models=probable_models
+                )
             )
         return engines
 
@@ -320,7 +322,7 @@
     def _describe(self, peer):
         report = peer.report
         order = self.pending.get(peer.name)
-        engine = placement_plan.Engine(
+        engine = placement_plan.EngineState(
             peer.name,
             peer.host.failure_domain,
             set(report["models"]),
@@ -347,10 +349,10 @@
         places = [peer.report["max_online"] for peer in peers] or [1]
         share = PLACES_SHARE * sum(places) / len(places)
         wanted = [
-            placement_plan.Wanted(
+            placement_plan.DesiredModel(
                 name,
                 model.version,
-                placement_plan.count_replicas(
+                placement_plan.compute_replica_count(
                     self._demand[name], share, model.replicas_min, model.replicas_max
                 ),
                 model.adapters,
@@ -360,7 +362,7 @@
         # What is no longer configured goes when its slot is needed, but not from
         # under its users.
         wanted += [
-            placement_plan.Wanted(name, replicas=0)
+            placement_plan.DesiredModel(name, replicas=0)
             for name, demand in self._demand.items()
             if demand >= IN_USE_DEMAND and name not in configuration.models
         ]
--- a/pimentowick/placement/plan.py
+++ b/pimentowick/placement/plan.py
@@ -11,10 +11,10 @@
 from pimentowick.placement import order as placement_order
 
 __all__ = [
-    "Engine",
-    "Move",
-    "Wanted",
-    "count_replicas",
+    "DesiredModel",
+    "EngineState",
+    "PlacementChange",
+    "compute_replica_count",
     "make_plan",
 ]
 
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class DesiredModel:
     """What is to be loaded of one model.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Engine:
+class EngineState:
     """One engine as far as it can be relied on.
 
     Attributes:
@@ -53,8 +53,8 @@
         slots: Most models that it holds.
         busy: Whether an order for it is under way.
         pending: Model that is being loaded, or None.
-        maybe: Models that are probably there: they are not loaded again elsewhere,
-            and no replica goes on their account.
+        probable_models: Models that are probably loaded: they are not loaded on another
+            engine, and they do not count as replicas when one is unloaded.
     """
 
     agent: str
@@ -65,11 +65,11 @@
     slots: int = 1
     busy: bool = False
     pending: str | None = None
-    maybe: set = dataclasses.field(default_factory=set)
+    probable_models: set = dataclasses.field(default_factory=set)
 
     def list_expected(self):
         """Return the models that are there, probably there, or on their way."""
-        return self.models | self.maybe | ({self.pending} - {None})
+        return self.models | self.probable_models | ({self.pending} - {None})
 
     def count_used(self):
         """Return how many slots are taken or about to be."""
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Move:
+class PlacementChange:
     """One change at one engine."""
 
     agent: str
@@ -88,29 +88,31 @@
     version: str = ""
 
 
-def make_plan(wanted, engines, loads):
+def make_plan(wanted, engines, max_changes):
     """Return the moves that may begin now.
 
     Args:
-        wanted: List of `Wanted`.
-        engines: List of `Engine`, which are changed as the moves would change them.
-            `Engine.models` may hold only what no older decider can take away.
-        loads: How many more changes may begin. An unload counts as the load that is
-            to follow.
+        wanted: List of `DesiredModel`.
+        engines: List of `EngineState`, updated in place as if the changes were
+            done. `EngineState.models` may only hold models that no earlier controller
+            can still unload.
+        max_changes: Number of changes that may start. An unload counts as the load that
+            follows it.
 
     Examples:
-        >>> engines = [Engine("a", "x", {"old"}), Engine("b", "x", {"old"})]
-        >>> make_plan([Wanted("old"), Wanted("new")], engines, 1)
-        [Move(agent='a', action='unload', kind='model', name='old', version='')]
+        >>> engines = [EngineState("a", "x", {"old"}), EngineState("b", "x", {"old"})]
+        >>> make_plan([DesiredModel("old"), DesiredModel("new")], engines, 1)
+        [PlacementChange(agent='a', action='unload', kind='model', name='old', \
+version='')]
     """
-    return _Plan(wanted, engines, loads).make()
+    return _Plan(wanted, engines, max_changes).make()
 
 
 class _Plan:
-    def __init__(self, wanted, engines, loads):
+    def __init__(self, wanted, engines, max_changes):
         self.wanted = {each.name: each for each in wanted}
         self.engines = engines
-        self.loads = loads
+        self.max_changes = max_changes
         self.moves = []
         # Counted once: a fleet has too many engines to go through for each step.
         self._ready = collections.Counter()
@@ -141,7 +143,7 @@
         return [engine for engine in self.engines if name in engine.models]
 
     def _place(self, wanted):
-        while self.loads > 0 and self._expected[wanted.name] < wanted.replicas:
+        while self.max_changes > 0 and self._expected[wanted.name] < wanted.replicas:
             if not self._place_one(wanted):
                 return
 
@@ -159,7 +161,7 @@
 
     def _load_new(self, wanted):
         free = self._list_free(wanted)
-        if not free or self.loads <= 0:
+        if not free or self.max_changes <= 0:
             return False
         # Models are spread over failure domains first, and over engines then.
         near = collections.Counter(
@@ -195,12 +197,14 @@
         if not found:
             return False
         _, _, name, engine = min(found, key=lambda each: each[:3])
-        self.moves.append(Move(engine.agent, placement_order.UNLOAD, MODEL, name))
+        self.moves.append(
+            PlacementChange(engine.agent, placement_order.UNLOAD, MODEL, name)
+        )
         engine.models.discard(name)
         engine.busy = True
         self._ready[name] -= 1
         self._expected[name] -= 1
-        self.loads -= 1
+        self.max_changes -= 1
         # The slot is free once the unload has ended; the next plan fills it.
         return False
 
@@ -230,7 +234,7 @@
             if self._expected[wanted.name] == 1:
                 self._load_new(wanted)
             return
-        if self.loads > 0:
+        if self.max_changes > 0:
             self._load(old[0], MODEL, wanted.name, wanted.version)
             # It may not answer until the load has ended.
             old[0].models.discard(wanted.name)
@@ -243,16 +247,18 @@
                 known = engine.versions.get(f"{ADAPTER}/{name}")
                 if name in engine.adapters and known in (None, version):
                     continue
-                if not engine.busy and self.loads > 0:
+                if not engine.busy and self.max_changes > 0:
                     self._load(engine, ADAPTER, name, version)
 
     def _load(self, engine, kind, name, version):
-        self.moves.append(Move(engine.agent, placement_order.LOAD, kind, name, version))
+        self.moves.append(
+            PlacementChange(engine.agent, placement_order.LOAD, kind, name, version)
+        )
         engine.busy = True
-        self.loads -= 1
+        self.max_changes -= 1
 
 
-def count_replicas(demand, places, least, most):
+def compute_replica_count(demand, places, least, most):
     """Return how many replicas carry a demand.
 
     Args:
@@ -262,7 +268,7 @@
         most: Most replicas.
 
     Examples:
-        >>> count_replicas(0, 32, 1, 4), count_replicas(70, 32, 1, 4)
+        >>> compute_replica_count(0, 32, 1, 4), compute_replica_count(70, 32, 1, 4)
         (1, 3)
     """
     return max(least, min(most, math.ceil(demand / max(1, places))))
--- a/pimentowick/placement/tests/test_claim.py
+++ b/pimentowick/placement/tests/test_claim.py
@@ -4,7 +4,7 @@
 
 
 def fold(records, first=0):
-    claims = claim.ClaimFold()
+    claims = claim.ClaimStateMachine()
     for offset, record in enumerate(records[first:], first):
         claims.apply(offset, record)
     return claims
@@ -35,7 +35,7 @@
     decider and number as those that read everything, or two would decide."""
     rng = random.Random(3)
     for _ in range(300):
-        records, claims = [], claim.ClaimFold()
+        records, claims = [], claim.ClaimStateMachine()
         for offset in range(40):
             owner = rng.choice("abc")
             renew = claim.make_renew(owner, rng.randint(1, max(1, claims.fence)))
@@ -50,6 +50,6 @@
 
 def test_a_loaded_dump_is_the_same():
     claims = fold([claim.make_claim("a"), claim.make_release(1), claim.make_claim("b")])
-    other = claim.ClaimFold()
+    other = claim.ClaimStateMachine()
     other.load(claims.dump())
-    assert (other.fence, other.owner, other.shown_at) == (3, "b", 2)
+    assert (other.fence, other.owner, other.owner_offset) == (3, "b", 2)
--- a/pimentowick/placement/tests/test_decider.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -46,8 +46,12 @@
     def find_decider(self):
         """Return the name of the entry that gives orders, or None."""
         for name, entry in self.entries.items():
-            decider = entry.decider
-            if decider.is_owner and decider._fence == decider.replica.fold.fence:
+            placement_controller = entry.placement_controller
+            if (
+                placement_controller.is_owner
+                and placement_controller._fence
+                == placement_controller.replica.state_machine.fence
+            ):
                 return name
         return None
 
@@ -55,7 +59,9 @@
         return sum(model in each.loaded["model"] for each in self.targets.values())
 
     def is_settled(self):
-        return not any(entry.decider.pending for entry in self.entries.values())
+        return not any(
+            entry.placement_controller.pending for entry in self.entries.values()
+        )
 
     def list_orders(self):
         return [order for each in self.targets.values() for order in each.orders]
@@ -68,7 +74,7 @@
     async def claim_for(self, owner):
         """Let the log show a claim of somebody else, and return its number."""
         record = placement_claim.make_claim(owner)
-        log = next(iter(self.entries.values())).decider.replica.log
+        log = next(iter(self.entries.values())).placement_controller.replica.log
         return 1 + await log.append(placement_claim.STREAM, [record])
 
 
@@ -93,13 +99,15 @@
     await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
     await fleet.wait_for(fleet.is_settled)
     name = fleet.find_decider()
-    decider = fleet.entries[name].decider
-    decider.replica._supervisor.stop_child("follow")
-    return name, decider
+    placement_controller = fleet.entries[name].placement_controller
+    placement_controller.replica._supervisor.stop_child("follow")
+    return name, placement_controller
 
 
-def count_orders_of(fleet, decider):
-    return sum(order["fence"] == decider._fence for order in fleet.list_orders())
+def count_orders_of(fleet, placement_controller):
+    return sum(
+        order["fence"] == placement_controller._fence for order in fleet.list_orders()
+    )
 
 
 def test_a_configured_model_is_loaded_and_found(run_placed):
@@ -118,7 +126,9 @@
     async def check(fleet):
         await fleet.chat("hello")
         assert fleet.list_orders() == []
-        assert not any(entry.decider.is_owner for entry in fleet.entries.values())
+        assert not any(
+            entry.placement_controller.is_owner for entry in fleet.entries.values()
+        )
 
     run_placed(check)
 
@@ -248,7 +258,9 @@
         fleet.store.board.place(faults.Order("down"))
         await fleet.place(MODELS)
         await fleet.wait_for(
-            lambda: any(e.decider._failed_at for e in fleet.entries.values())
+            lambda: any(
+                e.placement_controller._failed_at for e in fleet.entries.values()
+            )
         )
         assert fleet.list_orders() == []
         assert (await fleet.chat("hello")).status == 200
@@ -313,7 +325,7 @@
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
         fleet.log.board.place(faults.Order("down"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
-        owners = [e for e in fleet.entries.values() if e.decider.is_owner]
+        owners = [e for e in fleet.entries.values() if e.placement_controller.is_owner]
         assert len(owners) == 1
         fleet.log.board.place(faults.Order("clear"))
 
@@ -331,18 +343,25 @@
         await fleet.wait_for(fleet.is_settled)
         await fleet.crash(fleet.find_decider())
         await fleet.wait_for(fleet.find_decider)
-        decider = fleet.entries[fleet.find_decider()].decider
+        placement_controller = fleet.entries[fleet.find_decider()].placement_controller
         await fleet.wait_for(
-            lambda: all(map(decider._is_reliable, decider._list_peers()))
+            lambda: all(
+                map(
+                    placement_controller._is_reliable,
+                    placement_controller._list_peers(),
+                )
+            )
         )
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
         # The engine that holds the model is heard of last.
-        peers = decider._list_peers()
+        peers = placement_controller._list_peers()
         holder = next(peer for peer in peers if NEW in peer.report["models"])
         holder.report = {**holder.report, "fence": 0}
-        engines = decider._list_engines(peers)
-        wanted = decider._list_wanted(decider._get_fleet(), peers)
+        engines = placement_controller._list_engines(peers)
+        wanted = placement_controller._list_wanted(
+            placement_controller._get_fleet(), peers
+        )
         assert plan.make_plan(wanted, engines, 2) == []
 
     run_placed(check, engines=5)
@@ -356,14 +375,19 @@
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
-        decider = fleet.entries[fleet.find_decider()].decider
+        placement_controller = fleet.entries[fleet.find_decider()].placement_controller
         await fleet.wait_for(
-            lambda: all(map(decider._is_reliable, decider._list_peers()))
+            lambda: all(
+                map(
+                    placement_controller._is_reliable,
+                    placement_controller._list_peers(),
+                )
+            )
         )
-        peer = decider._list_peers()[0]
-        peer.report = {**peer.report, "fence": decider._fence - 1}
-        assert not decider._is_reliable(peer)
-        engines = decider._list_engines([peer])
+        peer = placement_controller._list_peers()[0]
+        peer.report = {**peer.report, "fence": placement_controller._fence - 1}
+        assert not placement_controller._is_reliable(peer)
+        engines = placement_controller._list_engines([peer])
         assert all(not engine.models and engine.busy for engine in engines)
 
     run_placed(check)
--- a/pimentowick/replication/checkpoint.py
+++ b/pimentowick/replication/checkpoint.py
@@ -14,7 +14,7 @@
 
 from pimentowick.external import log as external_log
 
-__all__ = ["CHECKPOINT", "Checkpoint", "Collector", "make_checkpoint"]
+__all__ = ["CHECKPOINT", "Checkpoint", "CheckpointAssembler", "make_checkpoint"]
 
 CHECKPOINT = "checkpoint"
 # Room in a record for what stands beside the data.
@@ -41,14 +41,14 @@
     """Return the records of a checkpoint.
 
     Args:
-        parts: What `pimentowick.replication.fold.Fold.dump` returned.
+        parts: What `pimentowick.replication.state_machine.StateMachine.dump` returned.
         covers: Offset of the first record that the fold had not applied.
         at: The time in epoch seconds.
         record_bytes: Largest record that the log takes, in bytes.
 
     Examples:
         >>> records = make_checkpoint([{"version": 7}], 9, 5.0, 4096)
-        >>> Collector().add(records[0])
+        >>> CheckpointAssembler().add(records[0])
         Checkpoint(covers=9, at=5.0, parts=[{'version': 7}])
     """
     # The codec that takes any text and number that a record may have brought.
@@ -72,7 +72,7 @@
     ]
 
 
-class Collector:
+class CheckpointAssembler:
     """Puts the parts of checkpoints together as they are read."""
 
     MAX_PARTIAL = 4
--- a/pimentowick/replication/keeper.py
+++ b/pimentowick/replication/checkpoint_writer.py
@@ -15,7 +15,12 @@
 
 from pimentowick import exception, supervisor
 
-__all__ = ["Keeper", "Kept", "append_patiently", "get_period"]
+__all__ = [
+    "CheckpointWriter",
+    "CheckpointedStream",
+    "append_with_retry",
+    "get_checkpoint_interval",
+]
 
 PERIODS_PER_RETENTION = 4
 # A stream without any checkpoint may be nearly as old as the retention time.
@@ -34,7 +39,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Kept:
+class CheckpointedStream:
     """One stream whose state is carried forward.
 
     Attributes:
@@ -48,7 +53,7 @@
     carry: object = None
 
 
-def get_period(settings):
+def get_checkpoint_interval(settings):
     """Return the time between two checkpoints of a stream, in seconds.
 
     Args:
@@ -57,20 +62,20 @@
     return settings.platform.log_retention_s / PERIODS_PER_RETENTION
 
 
-class Keeper:
+class CheckpointWriter:
     """Writes the checkpoints that fall to this entry.
 
     Args:
         settings: `pimentowick.settings.EntrySettings`.
-        list_kept: Function that returns the `Kept` streams.
+        list_checkpointed_streams: Function that returns the `CheckpointedStream` list.
         metrics: `pimentowick.metrics.EntryMetrics`.
     """
 
-    def __init__(self, settings, list_kept, metrics):
+    def __init__(self, settings, list_checkpointed_streams, metrics):
         self._settings = settings
-        self._list_kept = list_kept
+        self._list_kept = list_checkpointed_streams
         self._metrics = metrics
-        self._period = get_period(settings)
+        self._period = get_checkpoint_interval(settings)
         self._tried_at = {}
         self._supervisor = supervisor.Supervisor("keeper")
 
@@ -94,9 +99,9 @@
     def _is_due(self, kept):
         replica = kept.replica
         now = time.monotonic()
-        if not replica.ready or replica.fresh_at is None or not replica.offset:
+        if not replica.ready or replica.caught_up_at is None or not replica.offset:
             return False
-        if now - replica.fresh_at > FRESH_S:
+        if now - replica.caught_up_at > FRESH_S:
             return False
         # Where the clocks of two entries differ by days, each would find the
         # checkpoints of the other one too old at every turn.
@@ -129,11 +134,11 @@
         covers = records[0]["covers"]
         for start in range(0, len(records), RECORDS_PER_APPEND):
             group = records[start : start + RECORDS_PER_APPEND]
-            await append_patiently(replica, group)
+            await append_with_retry(replica, group)
         logger.info("keeper: {} has a checkpoint at {}.", replica.stream, covers)
 
 
-async def append_patiently(replica, records):
+async def append_with_retry(replica, records):
     """Append records that may come late, and may come twice.
 
     Raises:
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -29,27 +29,27 @@
     Args:
         log: `pimentowick.external.log.Log` to read from.
         stream: Name of the stream.
-        fold: `pimentowick.replication.fold.Fold` to keep.
+        state_machine: `pimentowick.replication.state_machine.StateMachine` to keep.
         get_wait: Function that returns how long the log may hold an empty answer, in
             seconds; None means `READ_WAIT_S`.
 
     Attributes:
         offset: First offset not yet applied.
         ready: Whether the fold has held everything up to some head of the log.
-        fresh_at: Monotonic time at which the last read that reached the head
+        caught_up_at: Monotonic time at which the last read that reached the head
             began; what was in the log then is in the fold. None before.
         first: Oldest offset that the log kept at the last read.
         recovering: Whether records are missing and a checkpoint is looked for.
         checkpoint_covers: What the newest checkpoint in the log covers.
     """
 
-    def __init__(self, log, stream, fold, get_wait=None):
+    def __init__(self, log, stream, state_machine, get_wait=None):
         self.log = log
         self.stream = stream
-        self.fold = fold
+        self.state_machine = state_machine
         self.offset = 0
         self.ready = False
-        self.fresh_at = None
+        self.caught_up_at = None
         self.first = 0
         self.recovering = False
         self.checkpoint_covers = 0
@@ -59,7 +59,7 @@
         self.applied = asyncio.Condition()
         self._get_wait = get_wait or (lambda: READ_WAIT_S)
         self._scan = 0
-        self._collector = checkpoint.Collector()
+        self._collector = checkpoint.CheckpointAssembler()
         self._reading = asyncio.Lock()
         self._supervisor = supervisor.Supervisor(f"replica {stream}")
 
@@ -106,7 +106,7 @@
                 reached = self._apply_page(page)
             if reached:
                 self.ready = True
-                self.fresh_at = began
+                self.caught_up_at = began
         async with self.applied:
             self.applied.notify_all()
         return reached
@@ -124,7 +124,7 @@
         if not isinstance(record, dict):
             record = {"id": "", "type": "malformed"}
         if record.get("type") != checkpoint.CHECKPOINT:
-            self.fold.apply(offset, record)
+            self.state_machine.apply(offset, record)
             return
         whole = self._collector.add(record)
         if whole is not None:
@@ -160,7 +160,7 @@
         self.recovering = True
         self.ready = False
         self._scan = first
-        self._collector = checkpoint.Collector()
+        self._collector = checkpoint.CheckpointAssembler()
 
     def _scan_page(self, page):
         for offset, record in page.records:
@@ -176,12 +176,12 @@
 
     def _adopt(self, found, first):
         # One that covers less than the oldest kept record would leave a gap again.
-        if found.covers < first or not self.adopt(found.covers, found.parts):
+        if found.covers < first or not self.install_state(found.covers, found.parts):
             return False
         self._note_checkpoint(found)
         return True
 
-    def adopt(self, covers, parts):
+    def install_state(self, covers, parts):
         """Take over the state that another copy of this stream dumped.
 
         Args:
@@ -194,13 +194,13 @@
         if covers < self.offset:
             return False
         try:
-            self.fold.load(parts)
+            self.state_machine.load(parts)
         except exception.ValidationError as error:
             logger.warning("replica {}: A dump is broken. {}", self.stream, error)
             return False
         self.offset = covers
         self.recovering = False
-        self._collector = checkpoint.Collector()
+        self._collector = checkpoint.CheckpointAssembler()
         logger.info("replica {}: loaded a state at {}.", self.stream, covers)
         return True
 
@@ -328,7 +328,7 @@
         # Packing takes long for a large state; the loop has callers to answer.
         return await asyncio.to_thread(
             checkpoint.make_checkpoint,
-            self.fold.dump(),
+            self.state_machine.dump(),
             self.offset,
             time.time(),
             record_bytes,
--- a/pimentowick/replication/fold.py
+++ b/pimentowick/replication/state_machine.py
@@ -2,10 +2,10 @@
 
 import abc
 
-__all__ = ["Fold"]
+__all__ = ["StateMachine"]
 
 
-class Fold(abc.ABC):
+class StateMachine(abc.ABC):
     """A state that is a function of a prefix of one log stream.
 
     Contract: the state depends on the applied records, their offsets and their
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -6,13 +6,13 @@
 import pytest
 
 from pimentowick import exception
-from pimentowick.replication import checkpoint, fold, replica
+from pimentowick.replication import checkpoint, replica, state_machine
 from pimentowick.replication.tests import memory
 
 STREAM = "s"
 
 
-class Trace(fold.Fold):
+class Trace(state_machine.StateMachine):
     """Keeps the ids that it applied, in their order."""
 
     def __init__(self):
@@ -76,7 +76,7 @@
         log.append = append_and_let_read
         log.lose_answers = 1
         assert await copy.append([{"id": "a", "type": "x"}], 2.0) == 0
-        assert copy.fold.ids == ["a"]
+        assert copy.state_machine.ids == ["a"]
 
     run(check)
 
@@ -100,7 +100,7 @@
         with pytest.raises(exception.LogUnavailableError):
             await copy.append([{"id": "b", "type": "x"}], 0.2)
         log.land_late()
-        await copy.wait_for(lambda: copy.fold.ids == ["a", "b"], 5)
+        await copy.wait_for(lambda: copy.state_machine.ids == ["a", "b"], 5)
 
     run(check)
 
@@ -127,10 +127,10 @@
         new = await follow()
         for copy in (behind, new):
             await copy.catch_up(5)
-            assert copy.fold.ids == ["a", "b", "c", "d", "e"]
+            assert copy.state_machine.ids == ["a", "b", "c", "d", "e"]
             assert copy.ready and not copy.recovering
         await ahead.catch_up(5)
-        assert ahead.fold.ids == new.fold.ids
+        assert ahead.state_machine.ids == new.state_machine.ids
 
     run(check)
 
@@ -150,18 +150,18 @@
         await copy.catch_up(5)
         log.kept.append(STREAM, old)
         await copy.catch_up(5)
-        assert copy.fold.ids == ["a", "b", "c"]
-        assert not copy.adopt(1, [{"ids": ["a"]}])
-        assert not copy.adopt(9, None)
+        assert copy.state_machine.ids == ["a", "b", "c"]
+        assert not copy.install_state(1, [{"ids": ["a"]}])
+        assert not copy.install_state(9, None)
         # A reader that lost records needs one that covers up to what is kept.
         log.kept.truncate(STREAM, 3)
         new = replica.Replica(log, STREAM, Trace())
         await new.read_once()
         await new.read_once()
-        assert new.recovering and not new.ready and new.fold.ids == []
+        assert new.recovering and not new.ready and new.state_machine.ids == []
         await write_checkpoint(log, copy)
         await new.catch_up(5)
-        assert new.fold.ids == ["a", "b", "c"]
+        assert new.state_machine.ids == ["a", "b", "c"]
 
     run(check)
 
@@ -179,7 +179,7 @@
         broken = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
         log.kept.append(STREAM, [{**part, **fields} for fields in broken])
         fill(log, "a")
-        await copy.wait_for(lambda: copy.fold.ids[-1:] == ["a"], 5)
+        await copy.wait_for(lambda: copy.state_machine.ids[-1:] == ["a"], 5)
 
     run(check)
 
@@ -202,6 +202,6 @@
         log.down = False
         fill(log, "b")
         await copy.catch_up(5)
-        assert copy.fold.ids == ["a", "b"]
+        assert copy.state_machine.ids == ["a", "b"]
 
     run(check)
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -170,7 +170,7 @@
 
     async def check():
         data = make_long_lines(BODY_BYTES)
-        least = BODY_BYTES // (2 * intake.TURN_BYTES)
+        least = BODY_BYTES // (2 * intake.MAX_BYTES_PER_YIELD)
         turns, submission = await count_turns(intake.parse_items(data, Workspace))
         assert turns >= least
         turns, chunks = await count_turns(
--- a/pimentowick/tests/test_metrics.py
+++ b/pimentowick/tests/test_metrics.py
@@ -94,4 +94,4 @@
     book.apply(2, record.make_results(1, []))
     book.apply(3, record.make_results(2, []))
     assert book.fenced == 1
-    assert [note.accepted for note in book.notes] == [True, True]
+    assert [note.accepted for note in book.audit_events] == [True, True]
