--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -27,41 +27,41 @@
 __all__ = ["Dispatcher"]
 
 MAX_LOG_LAG_S = 2.0
-TURN_S = 0.25
+DISPATCH_INTERVAL_S = 0.25
 STOP_TIMEOUT_S = 1.0
-READ_PAUSE_S = 0.5
+READ_RETRY_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
-class _Work:
+class _ActiveJob:
     """One open job of an owned shard.
 
     Attributes:
         shard: `pimentowick.batch.shard.Shard`.
         epoch: Epoch under which this process owns it.
         job: `pimentowick.batch.state.Job`.
-        bounds: Number of the first item of each chunk.
+        chunk_starts: Number of the first item of each chunk.
         pending: Items that wait.
         suspects: Items that wait to be run alone.
         running: Tasks by item.
         progress: `pimentowick.batch.item.Progress` by item, for those begun.
-        lost: Attempts that ended with the target's death, by item.
-        chunk: Number and items of the chunk that was read last.
+        crashes: Attempts that ended with the target's death, by item.
+        cached_chunk: Number and items of the chunk that was read last.
     """
 
     shard: object
     epoch: int
     job: object
-    bounds: list
+    chunk_starts: list
     pending: collections.deque
     suspects: collections.deque
     running: dict = dataclasses.field(default_factory=dict)
     progress: dict = dataclasses.field(default_factory=dict)
-    lost: dict = dataclasses.field(default_factory=dict)
-    chunk: tuple | None = None
-    reading: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    crashes: dict = dataclasses.field(default_factory=dict)
+    cached_chunk: tuple | None = None
+    read_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
-    def get_urgency(self):
+    def get_sort_key(self):
         """Return the key by which the jobs of a workspace are ordered."""
         deadline = math.inf if self.job.deadline is None else self.job.deadline
         return deadline, self.job.at
@@ -103,7 +103,7 @@
         self._settings = settings
         self._owner = owner
         self._metrics = metrics
-        self._works = {}
+        self._active_jobs = {}
         self._served = scheduling_served.ServedTokens()
         self._running = 0
         self._paused = False
@@ -117,8 +117,8 @@
     async def close(self):
         """Cancel what runs."""
         await self._supervisor.close()
-        for work in list(self._works.values()):
-            await self._cancel_work(work)
+        for active_job in list(self._active_jobs.values()):
+            await self._cancel_tasks(active_job)
 
     async def drain(self, timeout_s):
         """Start no more items, and wait for those that run.
@@ -129,7 +129,7 @@
         self._paused = True
         deadline = time.monotonic() + timeout_s
         while self._running and time.monotonic() < deadline:
-            await asyncio.sleep(TURN_S / 5)
+            await asyncio.sleep(DISPATCH_INTERVAL_S / 5)
         await self._writer.flush()
 
     def is_caught_up(self):
@@ -151,20 +151,20 @@
         Raises:
             UnavailableError: An agent did not confirm it.
         """
-        work = self._works.pop(job_id, None)
-        if work is not None:
-            await self._cancel_work(work)
+        active_job = self._active_jobs.pop(job_id, None)
+        if active_job is not None:
+            await self._cancel_tasks(active_job)
         peers = list(self._fleet.peers.values())
-        orders = [self._stop_at(peer, job_id) for peer in peers]
+        requests = [self._send_stop_job(peer, job_id) for peer in peers]
         failed = [
             error
-            for error in await asyncio.gather(*orders, return_exceptions=True)
+            for error in await asyncio.gather(*requests, return_exceptions=True)
             if error is not None
         ]
         if failed:
             raise exception.UnavailableError(f"Not confirmed: {failed[0]}")
 
-    async def _stop_at(self, peer, job_id):
+    async def _send_stop_job(self, peer, job_id):
         if peer.report.get("kind") != "engine":
             return
         await self._control.fetch(
@@ -178,8 +178,8 @@
             fresh=True,
         )
 
-    async def _cancel_work(self, work):
-        tasks = list(work.running.values())
+    async def _cancel_tasks(self, active_job):
+        tasks = list(active_job.running.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -187,149 +187,155 @@
     async def _dispatch(self):
         while True:
             try:
-                async with asyncio.timeout(TURN_S):
+                async with asyncio.timeout(DISPATCH_INTERVAL_S):
                     await self._fleet.changed.wait()
             except TimeoutError:
                 pass
             self._fleet.changed.clear()
-            await self._sync()
-            self._read_served()
+            await self._update_active_jobs()
+            self._update_served_tokens()
             while not self._paused and self._start_next():
                 pass
 
-    def _read_served(self):
+    def _update_served_tokens(self):
         self._served.forget_agents(self._fleet.peers)
         for name, peer in self._fleet.peers.items():
             if "batch_served" in peer.report:
                 self._served.note_report(name, peer.report["batch_served"])
 
-    async def _sync(self):
+    async def _update_active_jobs(self):
         """Take up the open jobs of owned shards, and drop all others."""
         owned = {shard.number: shard for shard in self._table.list_owned()}
-        for job_id, work in list(self._works.items()):
-            shard = owned.get(work.shard.number)
-            current = shard is work.shard and shard.ledger.epoch == work.epoch
+        for job_id, active_job in list(self._active_jobs.items()):
+            shard = owned.get(active_job.shard.number)
+            current = (
+                shard is active_job.shard and shard.ledger.epoch == active_job.epoch
+            )
             if not current:
-                self._writer.drop(work.shard.number)
+                self._writer.drop(active_job.shard.number)
             # A copy that loaded a checkpoint has new objects; the old one would
             # stay open for ever, also after a cancellation.
-            known = current and shard.ledger.jobs.get(job_id) is work.job
-            if not known or work.job.state != "open":
+            known = current and shard.ledger.jobs.get(job_id) is active_job.job
+            if not known or active_job.job.state != "open":
                 # Whoever stops a job while this waits has taken its work away.
-                self._works.pop(job_id, None)
-                await self._cancel_work(work)
+                self._active_jobs.pop(job_id, None)
+                await self._cancel_tasks(active_job)
         for shard in owned.values():
             for job in shard.ledger.list_open_jobs():
-                if job.id not in self._works:
-                    self._works[job.id] = _make_work(shard, job)
-        self._fleet.want_batch({work.job.model for work in self._works.values()})
+                if job.id not in self._active_jobs:
+                    self._active_jobs[job.id] = _make_active_job(shard, job)
+        self._fleet.want_batch(
+            {active_job.job.model for active_job in self._active_jobs.values()}
+        )
 
     def _start_next(self):
         """Start one item, and return whether there was one to start."""
         if self._running >= self._settings.max_batch or self._writer.is_full:
             return False
         by_workspace = collections.defaultdict(list)
-        for work in self._works.values():
-            if work.pending or work.suspects:
-                by_workspace[work.job.workspace].append(work)
+        for active_job in self._active_jobs.values():
+            if active_job.pending or active_job.suspects:
+                by_workspace[active_job.job.workspace].append(active_job)
         for name in self._served.sort(by_workspace):
-            for work in sorted(by_workspace[name], key=_Work.get_urgency):
-                if self._try_start(work):
+            for active_job in sorted(by_workspace[name], key=_ActiveJob.get_sort_key):
+                if self._try_start(active_job):
                     return True
         return False
 
-    def _try_start(self, work):
+    def _try_start(self, active_job):
         peers = [
             peer
-            for peer in self._fleet.list_candidates(work.job.model, "engine")
-            if self._may_use(peer, work.shard)
+            for peer in self._fleet.list_candidates(active_job.job.model, "engine")
+            if self._is_usable(peer, active_job.shard)
         ]
-        if work.suspects:
-            empty = [peer for peer in peers if peer.batch == 0]
-            if empty:
-                self._start(work, work.suspects.popleft(), empty[0], solo=True)
+        if active_job.suspects:
+            idle = [peer for peer in peers if peer.batch == 0]
+            if idle:
+                self._start(
+                    active_job, active_job.suspects.popleft(), idle[0], solo=True
+                )
                 return True
             # An empty engine is looked for, however much room the others have.
-            self._fleet.note_waiting(work.job.model, math.inf)
-        roomy = [peer for peer in peers if peer.batch < peer.window]
-        if not work.pending:
+            self._fleet.note_waiting(active_job.job.model, math.inf)
+        with_capacity = [peer for peer in peers if peer.batch < peer.window]
+        if not active_job.pending:
             return False
-        if not roomy:
-            self._fleet.note_waiting(work.job.model, len(work.pending))
+        if not with_capacity:
+            self._fleet.note_waiting(active_job.job.model, len(active_job.pending))
             return False
-        peer = max(roomy, key=lambda each: each.window - each.batch)
-        self._start(work, work.pending.popleft(), peer, solo=False)
+        peer = max(with_capacity, key=lambda each: each.window - each.batch)
+        self._start(active_job, active_job.pending.popleft(), peer, solo=False)
         return True
 
-    def _may_use(self, peer, shard):
+    def _is_usable(self, peer, shard):
         # A lease that is younger than the last look into the log was granted to a
         # process that may have slept: the log may hold a cancellation since.
         caught_up_at = shard.replica.caught_up_at
         return bool(peer.lease) and not peer.solo and caught_up_at > peer.lease_since
 
-    def _start(self, work, item, peer, solo):
+    def _start(self, active_job, item, peer, solo):
         peer.batch += 1
         peer.solo = solo
         self._running += 1
-        workspace = work.job.workspace
+        workspace = active_job.job.workspace
         cost = self._served.begin(workspace, self._get_weight(workspace))
-        task = asyncio.create_task(self._run(work, item, peer, solo))
-        work.running[item] = task
+        task = asyncio.create_task(self._run_item(active_job, item, peer, solo))
+        active_job.running[item] = task
         task.add_done_callback(
-            lambda done: self._end(work, item, peer, solo, cost, done)
+            lambda done: self._on_task_done(active_job, item, peer, solo, cost, done)
         )
 
-    def _end(self, work, item, peer, solo, cost, task):
-        self._served.end(work.job.workspace, cost)
+    def _on_task_done(self, active_job, item, peer, solo, cost, task):
+        self._served.end(active_job.job.workspace, cost)
         # The item may have been started again before this callback had its turn.
-        if work.running.get(item) is task:
-            del work.running[item]
+        if active_job.running.get(item) is task:
+            del active_job.running[item]
         peer.batch -= 1
         if solo:
             peer.solo = False
         self._running -= 1
         self._fleet.changed.set()
 
-    async def _run(self, work, item, peer, solo):
+    async def _run_item(self, active_job, item, peer, solo):
         try:
-            body = await self._read_body(work, item)
+            body = await self._read_body(active_job, item)
         except exception.LogTruncatedError as error:
-            self._take_gone(work, item, error)
+            self._on_body_lost(active_job, item, error)
             return
         except exception.LogError as error:
-            logger.warning("dispatch: {} item {}: {}", work.job.id, item, error)
+            logger.warning("dispatch: {} item {}: {}", active_job.job.id, item, error)
             # Started again at once, it would ask a log that is down without a
             # pause, as often as the loop turns.
-            await asyncio.sleep(READ_PAUSE_S)
-            work.pending.append(item)
+            await asyncio.sleep(READ_RETRY_DELAY_S)
+            active_job.pending.append(item)
             return
-        progress = work.progress.setdefault(item, batch_item.Progress())
-        workspace = work.job.workspace
+        progress = active_job.progress.setdefault(item, batch_item.Progress())
+        workspace = active_job.job.workspace
         self._served.note_cost(workspace, body["max_tokens"] - len(progress.texts))
         result = await batch_item.run_item(
             self._client,
             peer,
             self._owner,
-            work.job,
+            active_job.job,
             item,
             body,
             progress,
             self._get_weight(workspace),
             self._settings.idle_s,
         )
-        self._take_result(work, item, peer, solo, body, result)
+        self._on_result(active_job, item, peer, solo, body, result)
 
-    def _take_result(self, work, item, peer, solo, body, result):
+    def _on_result(self, active_job, item, peer, solo, body, result):
         if result.outcome is batch_item.Outcome.DONE:
             self._fleet.note_success(peer)
-            self._finish(work, item, result.status, result.body)
+            self._complete_item(active_job, item, result.status, result.body)
         elif result.outcome is batch_item.Outcome.NOT_RUN:
-            self._take_not_run(work, item, peer, solo, result.refusal)
+            self._on_not_run(active_job, item, peer, solo, result.refusal)
         else:
             self._fleet.note_failure(peer)
-            self._take_lost(work, item, solo, body, result.refusal)
+            self._on_target_failure(active_job, item, solo, body, result.refusal)
 
-    def _take_not_run(self, work, item, peer, solo, refusal):
+    def _on_not_run(self, active_job, item, peer, solo, refusal):
         if refusal is not None and refusal.code == "no_slot":
             peer.window = peer.batch - 1
         elif refusal is not None and refusal.code == "draining":
@@ -338,34 +344,39 @@
             self._fleet.note_lapsed(peer)
         elif refusal is not None:
             self._fleet.note_failure(peer)
-        queue = work.suspects if solo else work.pending
+        queue = active_job.suspects if solo else active_job.pending
         queue.appendleft(item)
 
-    def _take_lost(self, work, item, solo, body, refusal):
-        lost = work.lost.get(item, 0)
+    def _on_target_failure(self, active_job, item, solo, body, refusal):
+        crashes = active_job.crashes.get(item, 0)
         if solo:
-            lost += 1
-            work.lost[item] = lost
+            crashes += 1
+            active_job.crashes[item] = crashes
             self._supervisor.start_child(
-                f"{work.job.id}-{item}", self._note_suspect, work, item, lost
+                f"{active_job.job.id}-{item}",
+                self._append_suspect,
+                active_job,
+                item,
+                crashes,
             )
-        if lost < self._settings.item_attempts:
-            work.suspects.append(item)
+        if crashes < self._settings.item_attempts:
+            active_job.suspects.append(item)
             return
         final = dataclasses.replace(
             refusal,
             code="attempts_exhausted",
-            message=f"The target failed in each of {lost} attempts. {refusal.message}",
+            message=f"The target failed in each of {crashes} attempts."
+            f" {refusal.message}",
             verdict=verdict.Verdict.MAY_HAVE_RUN,
             retry_after=None,
         )
         failure = batch_item.make_failure(body, final)
-        self._finish(work, item, "failed", failure)
+        self._complete_item(active_job, item, "failed", failure)
 
-    def _take_gone(self, work, item, error):
+    def _on_body_lost(self, active_job, item, error):
         """End an item whose body the log has dropped; no attempt can run it."""
-        logger.error("dispatch: {} item {} is lost. {}", work.job.id, item, error)
-        ran = item in work.progress or item in work.lost
+        logger.error("dispatch: {} item {} is lost. {}", active_job.job.id, item, error)
+        ran = item in active_job.progress or item in active_job.crashes
         refusal = verdict.Refusal(
             410,
             "item_lost",
@@ -373,55 +384,62 @@
             verdict.Verdict.MAY_HAVE_RUN if ran else verdict.Verdict.NOT_RUN,
         )
         failure = batch_item.make_failure({"custom_id": None}, refusal)
-        self._finish(work, item, "failed", {**failure, "item": item})
+        self._complete_item(active_job, item, "failed", {**failure, "item": item})
 
-    async def _note_suspect(self, work, item, lost):
+    async def _append_suspect(self, active_job, item, crashes):
         """Keep the count of attempts for the next owner of the shard."""
-        note = batch_record.make_suspect(work.epoch, work.job.id, item, lost)
+        note = batch_record.make_suspect(
+            active_job.epoch, active_job.job.id, item, crashes
+        )
         try:
-            await work.shard.replica.log.append(work.shard.stream, [note])
+            await active_job.shard.replica.log.append(active_job.shard.stream, [note])
         except exception.LogError as error:
             # The next owner would count from an older figure; still bounded.
             logger.warning("dispatch: A suspect was not noted. {}", error)
 
-    def _finish(self, work, item, status, body):
-        work.progress.pop(item, None)
+    def _complete_item(self, active_job, item, status, body):
+        active_job.progress.pop(item, None)
         self._metrics.count_item(status)
-        self._writer.add(work.shard, work.epoch, work.job.id, item, status, body)
-
-    async def _read_body(self, work, item):
-        number = bisect.bisect_right(work.bounds, item) - 1
-        async with work.reading:
-            if work.chunk is None or work.chunk[0] != number:
-                work.chunk = (number, await self._read_chunk(work, number))
-            return work.chunk[1][item - work.bounds[number]]
-
-    async def _read_chunk(self, work, number):
-        shard = work.shard
-        offset = shard.ledger.find_chunk(work.job, number).offset
+        self._writer.add(
+            active_job.shard, active_job.epoch, active_job.job.id, item, status, body
+        )
+
+    async def _read_body(self, active_job, item):
+        number = bisect.bisect_right(active_job.chunk_starts, item) - 1
+        async with active_job.read_lock:
+            if active_job.cached_chunk is None or active_job.cached_chunk[0] != number:
+                active_job.cached_chunk = (
+                    number,
+                    await self._read_chunk(active_job, number),
+                )
+            return active_job.cached_chunk[1][item - active_job.chunk_starts[number]]
+
+    async def _read_chunk(self, active_job, number):
+        shard = active_job.shard
+        offset = shard.ledger.find_chunk(active_job.job, number).offset
         page = await shard.read_record(offset)
         if page.records and page.records[0][0] == offset:
             return page.records[0][1]["items"]
         # It may have been appended again further on. Only a copy that is up to date
         # and still names a place that the log has dropped proves the loss.
         await shard.replica.catch_up(self._settings.append_s)
-        offset = shard.ledger.find_chunk(work.job, number).offset
+        offset = shard.ledger.find_chunk(active_job.job, number).offset
         if offset < shard.replica.first:
             raise exception.LogTruncatedError(f"Chunk {number} is gone from the log.")
         raise exception.LogUnavailableError(f"Chunk {number} has moved.")
 
 
-def _make_work(shard, job):
+def _make_active_job(shard, job):
     ledger = shard.ledger
     sizes = [ledger.find_chunk(job, i).size for i in range(ledger.count_chunks(job))]
-    bounds = [0, *itertools.accumulate(sizes)][:-1]
+    chunk_starts = [0, *itertools.accumulate(sizes)][:-1]
     waiting = [item for item, outcome in enumerate(job.outcomes) if outcome == 0]
-    return _Work(
+    return _ActiveJob(
         shard=shard,
         epoch=ledger.epoch,
         job=job,
-        bounds=bounds,
+        chunk_starts=chunk_starts,
         pending=collections.deque(i for i in waiting if i not in job.suspects),
         suspects=collections.deque(i for i in waiting if i in job.suspects),
-        lost=dict(job.suspects),
+        crashes=dict(job.suspects),
     )
--- a/pimentowick/batch/intake.py
+++ b/pimentowick/batch/intake.py
@@ -22,7 +22,7 @@
 MAX_ITEMS = 65_000
 # What is parsed or encoded in one turn of the loop, in lines and in bytes; more
 # would delay online requests.
-LINES_PER_TURN = 100
+MAX_LINES_PER_YIELD = 100
 MAX_BYTES_PER_YIELD = 262_144
 MAX_LINE_BYTES = 1_048_576
 RECORDS_PER_APPEND = 8
@@ -63,20 +63,20 @@
         RefusedError: A line is wrong; the message names it. Nothing is kept.
     """
     items = []
-    known = set()
+    seen_ids = set()
     model = None
     hashed = hashlib.sha256()
-    turn = _Turn()
+    yielder = _LoopYielder()
     for number, line in enumerate(_split_lines(data), start=1):
-        await turn.take(len(line))
+        await yielder.add_work(len(line))
         if not line.strip():
             continue
         if len(line) > MAX_LINE_BYTES:
             raise _refuse_line(number, f"longer than {MAX_LINE_BYTES} bytes")
         item = _parse_line(number, line, workspace)
-        if item["custom_id"] in known:
+        if item["custom_id"] in seen_ids:
             raise _refuse_line(number, f"custom_id {item['custom_id']!r} occurs twice")
-        known.add(item["custom_id"])
+        seen_ids.add(item["custom_id"])
         if model is not None and item["model"] != model:
             raise _refuse_line(number, f"all items of a job use one model, {model!r}")
         model = item["model"]
@@ -99,17 +99,17 @@
         start = stop + 1
 
 
-class _Turn:
+class _LoopYielder:
     """Lets the loop go on to other tasks after a certain amount of work."""
 
     def __init__(self):
         self._lines = 0
         self._bytes = 0
 
-    async def take(self, size):
+    async def add_work(self, size):
         self._lines += 1
         self._bytes += size
-        if self._lines >= LINES_PER_TURN or self._bytes >= MAX_BYTES_PER_YIELD:
+        if self._lines >= MAX_LINES_PER_YIELD or self._bytes >= MAX_BYTES_PER_YIELD:
             self._lines = self._bytes = 0
             await asyncio.sleep(0)
 
@@ -139,10 +139,10 @@
     limit = record_bytes - RECORD_MARGIN_BYTES
     chunks = [[]]
     size = 0
-    turn = _Turn()
+    yielder = _LoopYielder()
     for item in items:
         length = len(orjson.dumps(item)) + 1
-        await turn.take(length)
+        await yielder.add_work(length)
         if length > limit:
             raise http_web.refuse_input(
                 f"Item {item['custom_id']!r} is larger than {limit} bytes. Shorten it.",
--- a/pimentowick/batch/item.py
+++ b/pimentowick/batch/item.py
@@ -11,7 +11,7 @@
 BATCH = "batch"
 ITEM_DEADLINE_S = 3600.0
 # Answers that blame the item itself; it would get them from every target.
-HOPELESS_STATUSES = frozenset([400, 404, 413, 422])
+NON_RETRYABLE_STATUSES = frozenset([400, 404, 413, 422])
 
 
 class Outcome(enum.Enum):
@@ -21,7 +21,7 @@
     """There is a result, a good one or a final failure."""
     NOT_RUN = "not_run"
     """The target never saw it; it waits for another place."""
-    LOST = "lost"
+    TARGET_FAILED = "lost"
     """The target or the connection died while it ran."""
 
 
@@ -93,20 +93,20 @@
     end = None
     try:
         async for frames in routing_attempt.read_frames(client, peer, message, idle_s):
-            for each in frames:
-                if "texts" in each and each["index"] == len(progress.texts):
-                    progress.texts.extend(each["texts"])
-                elif each.get("end"):
-                    end = each
+            for frame in frames:
+                if "texts" in frame and frame["index"] == len(progress.texts):
+                    progress.texts.extend(frame["texts"])
+                elif frame.get("end"):
+                    end = frame
     except exception.RefusedError as error:
-        return _judge(body, error.refusal)
+        return _classify_refusal(body, error.refusal)
     if end["finish_reason"] == "cancelled" or end["tokens"] != len(progress.texts):
         # The engine ended it for a reason of its own; what came is not whole.
         return Result(Outcome.NOT_RUN)
-    return _succeed(request_id, body, progress, end)
+    return _make_success(request_id, body, progress, end)
 
 
-def _succeed(request_id, body, progress, end):
+def _make_success(request_id, body, progress, end):
     text = "".join(progress.texts)
     answer = completion.make_chat_body(
         request_id, body, text, end["finish_reason"], end["tokens"]
@@ -119,12 +119,12 @@
     )
 
 
-def _judge(body, refusal):
-    if refusal.status in HOPELESS_STATUSES:
+def _classify_refusal(body, refusal):
+    if refusal.status in NON_RETRYABLE_STATUSES:
         return Result(Outcome.DONE, "failed", make_failure(body, refusal), refusal)
     if refusal.verdict is verdict.Verdict.NOT_RUN:
         return Result(Outcome.NOT_RUN, refusal=refusal)
-    return Result(Outcome.LOST, refusal=refusal)
+    return Result(Outcome.TARGET_FAILED, refusal=refusal)
 
 
 def make_failure(body, refusal):
--- a/pimentowick/batch/ledger.py
+++ b/pimentowick/batch/ledger.py
@@ -30,11 +30,11 @@
 
 __all__ = ["Ledger"]
 
-MAX_SUBMISSIONS_WITHOUT_JOB = 1000
+MAX_ORPHAN_SUBMISSIONS = 1000
 MAX_ENDED_CALLS = 20_000
-DUMP_ROWS = 2000
-DUMP_CALLS = 500
-DUMP_NOTES = 50
+RESULT_ROWS_PER_PART = 2000
+CALLS_PER_PART = 500
+AUDIT_EVENTS_PER_PART = 50
 
 
 class Ledger(state_machine.StateMachine):
@@ -74,8 +74,8 @@
         # items have their result there.
         self.chunks = {}
         self.results = {}
-        self._uses = {}
-        self._used_submissions = set()
+        self._result_item_counts = {}
+        self._job_submissions = set()
 
     # The handlers, by type of record.
 
@@ -91,8 +91,8 @@
             return
 
     def _apply_claim(self, offset, record):
-        epoch = _get(record, "epoch", int)
-        owner = _get(record, "owner", str)
+        epoch = _get_field(record, "epoch", int)
+        owner = _get_field(record, "owner", str)
         accepted = epoch == self.epoch + 1
         self.audit_events.append(
             batch_audit.make_claim_event(offset, record, self.epoch, accepted)
@@ -104,7 +104,7 @@
         self.owner_offset = offset
 
     def _apply_release(self, offset, record):
-        if self._is_current(record):
+        if self._has_current_epoch(record):
             self.audit_events.append(
                 batch_audit.make_release_event(offset, self.owner, self.epoch)
             )
@@ -112,20 +112,22 @@
             self.owner_offset = offset
 
     def _apply_renew(self, offset, record):
-        if self._is_current(record):
+        if self._has_current_epoch(record):
             self.owner_offset = offset
 
-    def _is_current(self, record):
+    def _has_current_epoch(self, record):
         current = self.owner is not None and record["epoch"] == self.epoch
         if not current:
             self.fenced += 1
         return current
 
     def _apply_chunk(self, offset, record):
-        submission = _get(record, "submission", str)
-        index = _get(record, "index", int)
+        submission = _get_field(record, "submission", str)
+        index = _get_field(record, "index", int)
         chunk = state.Chunk(
-            offset, len(_get(record, "items", list)), _get(record, "id", str)
+            offset,
+            len(_get_field(record, "items", list)),
+            _get_field(record, "id", str),
         )
         known = self.chunks.get(submission, {})
         if index in known:
@@ -134,16 +136,16 @@
             if known[index].id == chunk.id and known[index].size == chunk.size:
                 known[index] = chunk
             return
-        if submission in self._used_submissions:
+        if submission in self._job_submissions:
             return
         self.chunks.setdefault(submission, {})[index] = chunk
-        orphans = len(self.chunks) - len(self._used_submissions)
-        if orphans > MAX_SUBMISSIONS_WITHOUT_JOB:
+        orphans = len(self.chunks) - len(self._job_submissions)
+        if orphans > MAX_ORPHAN_SUBMISSIONS:
             self._drop_oldest_submission()
 
     def _drop_oldest_submission(self):
         for submission in self.chunks:
-            if submission not in self._used_submissions:
+            if submission not in self._job_submissions:
                 del self.chunks[submission]
                 return
 
@@ -154,7 +156,7 @@
         if not is_whole or (len(chunks), count) != (record["chunks"], record["items"]):
             return
         job = _make_job(record)
-        if job.id in self.jobs or job.submission in self._used_submissions:
+        if job.id in self.jobs or job.submission in self._job_submissions:
             return
         if not job.items:
             job.end(state.DONE, job.at)
@@ -163,11 +165,11 @@
     def _put_job(self, job):
         self.jobs[job.id] = job
         self.chunks.setdefault(job.submission, {})
-        self._used_submissions.add(job.submission)
+        self._job_submissions.add(job.submission)
 
     def _apply_cancelled(self, offset, record):
         job = self.jobs[record["job"]]
-        by = _get(record, "by", str)
+        by = _get_field(record, "by", str)
         at = _get_time(record, job.at)
         self.audit_events.append(
             batch_audit.make_cancellation_event(offset, record, job)
@@ -177,21 +179,21 @@
             job.cancelled_by = by
 
     def _apply_results(self, offset, record):
-        record_id = _get(record, "id", str)
+        record_id = _get_field(record, "id", str)
         if record_id in self.results:
             self.results[record_id] = offset
             return
-        if not self._is_current(record):
+        if not self._has_current_epoch(record):
             return
         rows = _parse_results(record)
         at = _get_time(record, 0.0)
         self.owner_offset = offset
-        uses = sum(self._complete(record_id, at, *row) for row in rows)
-        if uses:
+        completed = sum(self._complete_item(record_id, at, *row) for row in rows)
+        if completed:
             self.results[record_id] = offset
-            self._uses[record_id] = uses
+            self._result_item_counts[record_id] = completed
 
-    def _complete(self, record_id, at, job_id, item, outcome):
+    def _complete_item(self, record_id, at, job_id, item, outcome):
         job = self.jobs.get(job_id)
         if job is None or job.state != state.OPEN or not 0 <= item < job.items:
             return False
@@ -206,11 +208,11 @@
         return True
 
     def _apply_suspect(self, offset, record):
-        if not self._is_current(record):
+        if not self._has_current_epoch(record):
             return
         job = self.jobs[record["job"]]
-        item = _get(record, "item", int)
-        attempts = _get(record, "attempts", int)
+        item = _get_field(record, "item", int)
+        attempts = _get_field(record, "attempts", int)
         self.owner_offset = offset
         if 0 <= item < job.items and job.outcomes[item] == state.PENDING:
             job.suspects[item] = attempts
@@ -222,15 +224,15 @@
             return
         del self.jobs[job.id]
         del self.chunks[job.submission]
-        self._used_submissions.discard(job.submission)
+        self._job_submissions.discard(job.submission)
         for ref in job.refs:
             if ref is not None:
-                self._release_result(ref)
+                self._release_result_record(ref)
 
-    def _release_result(self, record_id):
-        self._uses[record_id] -= 1
-        if not self._uses[record_id]:
-            del self._uses[record_id]
+    def _release_result_record(self, record_id):
+        self._result_item_counts[record_id] -= 1
+        if not self._result_item_counts[record_id]:
+            del self._result_item_counts[record_id]
             del self.results[record_id]
 
     def _apply_call_claimed(self, offset, record):
@@ -244,10 +246,10 @@
             digest=record["digest"],
             at=record["at"],
         )
-        self._forget_call(call.id)
+        self._remove_call(call.id)
         self.calls[call.id] = call
 
-    def _forget_call(self, call_id):
+    def _remove_call(self, call_id):
         call = self.calls.pop(call_id, None)
         if call is not None and call.verdict is not None:
             self._ended_calls -= 1
@@ -266,7 +268,7 @@
         self.calls[call.id] = self.calls.pop(call.id)
         self._ended_calls += 1
         if self._ended_calls > MAX_ENDED_CALLS:
-            self._forget_call(self._find_oldest_ended_call())
+            self._remove_call(self._find_oldest_ended_call())
 
     def _find_oldest_ended_call(self):
         # Those that run are passed over: dropped, they could run a second time. One
@@ -328,18 +330,18 @@
             parts.append({"job": self._dump_job(job)})
             parts.extend(self._dump_results(job))
         calls = [dataclasses.asdict(call) for call in self.calls.values()]
-        for start in range(0, len(calls), DUMP_CALLS):
-            parts.append({"calls": calls[start : start + DUMP_CALLS]})
+        for start in range(0, len(calls), CALLS_PER_PART):
+            parts.append({"calls": calls[start : start + CALLS_PER_PART]})
         audit_events = [dataclasses.asdict(event) for event in self.audit_events]
-        for start in range(0, len(audit_events), DUMP_NOTES):
-            parts.append({"notes": audit_events[start : start + DUMP_NOTES]})
+        for start in range(0, len(audit_events), AUDIT_EVENTS_PER_PART):
+            parts.append({"notes": audit_events[start : start + AUDIT_EVENTS_PER_PART]})
         return parts
 
     def _dump_orphans(self):
         return {
             submission: _dump_chunks(chunks)
             for submission, chunks in self.chunks.items()
-            if submission not in self._used_submissions
+            if submission not in self._job_submissions
         }
 
     def _dump_results(self, job):
@@ -351,8 +353,11 @@
         for ref, items in groups.items():
             for first, last in _make_ranges(items):
                 rows.append([ref, self.results[ref], first, last])
-        for start in range(0, len(rows), DUMP_ROWS):
-            yield {"results_of": job.id, "rows": rows[start : start + DUMP_ROWS]}
+        for start in range(0, len(rows), RESULT_ROWS_PER_PART):
+            yield {
+                "results_of": job.id,
+                "rows": rows[start : start + RESULT_ROWS_PER_PART],
+            }
 
     def _dump_job(self, job):
         return {
@@ -433,14 +438,16 @@
         job = self.jobs[part["results_of"]]
         for ref, offset, first, last in part["rows"]:
             self.results[ref] = offset
-            self._uses[ref] = self._uses.get(ref, 0) + last + 1 - first
+            self._result_item_counts[ref] = (
+                self._result_item_counts.get(ref, 0) + last + 1 - first
+            )
             for item in range(first, last + 1):
                 job.refs[item] = ref
                 if job.outcomes[item] == state.PENDING:
                     job.outcomes[item] = state.SUCCEEDED
 
 
-def _get(record, name, kind):
+def _get_field(record, name, kind):
     value = record[name]
     if type(value) is not kind:
         raise TypeError(f"{name} is no {kind.__name__}")
@@ -455,7 +462,7 @@
 
 
 def _make_job(record):
-    items = _get(record, "items", int)
+    items = _get_field(record, "items", int)
     deadline = record.get("deadline")
     if deadline is not None and type(deadline) not in (int, float):
         raise TypeError("deadline is no time")
@@ -463,11 +470,11 @@
     if model is not None and type(model) is not str:
         raise TypeError("model is no text")
     return state.Job(
-        id=_get(record, "job", str),
-        submission=_get(record, "submission", str),
-        workspace=_get(record, "workspace", str),
-        key=_get(record, "key", str),
-        digest=_get(record, "digest", str),
+        id=_get_field(record, "job", str),
+        submission=_get_field(record, "submission", str),
+        workspace=_get_field(record, "workspace", str),
+        key=_get_field(record, "key", str),
+        digest=_get_field(record, "digest", str),
         model=model,
         items=items,
         deadline=deadline,
@@ -480,7 +487,7 @@
 
 def _parse_results(record):
     rows = []
-    for job_id, item, outcome, _ in _get(record, "results", list):
+    for job_id, item, outcome, _ in _get_field(record, "results", list):
         if type(job_id) is not str or type(item) is not int:
             raise TypeError("a result names no item")
         rows.append((job_id, item, state.OUTCOMES[outcome]))
--- a/pimentowick/batch/ownership.py
+++ b/pimentowick/batch/ownership.py
@@ -21,14 +21,14 @@
     "get_host_name",
 ]
 
-TICK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 RANK_DELAY_S = 1.0
-GONE_DELAY_S = 1.0
-RENEWS_PER_TAKEOVER = 3
-CLAIM_PAUSE_S = 1.0
+REMOVED_HOST_DELAY_S = 1.0
+RENEWALS_PER_TAKEOVER = 3
+CLAIM_RETRY_S = 1.0
 
 
-class _Watch:
+class _OwnerWatch:
     """What one shard's owner was last seen to do."""
 
     def __init__(self):
@@ -61,7 +61,7 @@
     async def start(self):
         """Begin to watch the owners."""
         await self._supervisor.start()
-        self._supervisor.start_child("watch", self._watch)
+        self._supervisor.start_child("watch", self._update_tasks)
 
     async def close(self):
         """Stop watching; what is owned stays owned until it is claimed."""
@@ -80,7 +80,7 @@
                 # Others then wait for the silence of this owner, as after a crash.
                 logger.warning("ownership: Shard {}: {}", shard.number, error)
 
-    async def _watch(self):
+    async def _update_tasks(self):
         """Keep one task for each shard that is followed.
 
         A slow append for one shard would otherwise hold back the renewals of the
@@ -92,18 +92,18 @@
             for number, shard in followed.items():
                 if watched.get(number) is not shard:
                     name = f"shard {number}"
-                    self._supervisor.start_child(name, self._watch_always, shard)
+                    self._supervisor.start_child(name, self._watch_loop, shard)
             for number in set(watched) - set(followed):
                 self._supervisor.stop_child(f"shard {number}")
             watched = followed
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def _watch_always(self, shard):
-        watch = _Watch()
+    async def _watch_loop(self, shard):
+        watch = _OwnerWatch()
         while True:
             began = time.monotonic()
-            await asyncio.sleep(TICK_S)
-            elapsed = min(time.monotonic() - began, 2 * TICK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            elapsed = min(time.monotonic() - began, 2 * CHECK_INTERVAL_S)
             await self._watch_shard(shard, watch, elapsed)
 
     async def _watch_shard(self, shard, watch, elapsed):
@@ -113,30 +113,30 @@
         if ledger.owner == self._owner:
             await self._renew(shard, watch)
             return
-        self._count_silence(shard, watch, elapsed)
+        self._update_silence(shard, watch, elapsed)
         if not ledger.list_open_jobs():
             return
-        if watch.silent_s >= self._get_patience(shard):
+        if watch.silent_s >= self._get_claim_delay(shard):
             await self._claim(shard, watch)
 
-    def _count_silence(self, shard, watch, elapsed):
+    def _update_silence(self, shard, watch, elapsed):
         if shard.ledger.owner_offset != watch.owner_offset:
             watch.owner_offset = shard.ledger.owner_offset
             watch.silent_s = 0.0
-        elif self._reads(shard):
+        elif self._is_reading(shard):
             watch.silent_s += elapsed
         if not shard.ledger.list_open_jobs():
             # An owner without work has nothing to say.
             watch.silent_s = 0.0
 
-    def _reads(self, shard):
+    def _is_reading(self, shard):
         age = time.monotonic() - shard.replica.caught_up_at
         # A read that the log held open is as old as that when it ends. Without room
         # for it a short takeover time would never be counted to its end.
-        limit = self._settings.takeover_s / RENEWS_PER_TAKEOVER
+        limit = self._settings.takeover_s / RENEWALS_PER_TAKEOVER
         return age < batch_shard.READ_WAIT_S + limit
 
-    def _get_patience(self, shard):
+    def _get_claim_delay(self, shard):
         """Return how long the owner may be silent before this entry claims."""
         names = self._table.list_followers(shard.number)
         rank = names.index(self._settings.name) if self._settings.name in names else 9
@@ -147,13 +147,13 @@
         if host == self._settings.name:
             # An earlier process of this host; it can't be alive beside this one.
             return 0.0
-        if host not in self._table.list_names():
-            return GONE_DELAY_S + rank * RANK_DELAY_S
+        if host not in self._table.list_entry_names():
+            return REMOVED_HOST_DELAY_S + rank * RANK_DELAY_S
         return self._settings.takeover_s + rank * RANK_DELAY_S
 
     async def _claim(self, shard, watch):
         now = time.monotonic()
-        if now - watch.claimed_at < CLAIM_PAUSE_S:
+        if now - watch.claimed_at < CLAIM_RETRY_S:
             return
         watch.claimed_at = now
         epoch = shard.ledger.epoch + 1
@@ -175,7 +175,7 @@
         if shard.ledger.owner_offset != watch.owner_offset:
             watch.owner_offset = shard.ledger.owner_offset
             watch.renewed_at = now
-        if now - watch.renewed_at < self._settings.takeover_s / RENEWS_PER_TAKEOVER:
+        if now - watch.renewed_at < self._settings.takeover_s / RENEWALS_PER_TAKEOVER:
             return
         watch.renewed_at = now
         renew = batch_record.make_renew(shard.ledger.epoch)
--- a/pimentowick/batch/relocation.py
+++ b/pimentowick/batch/relocation.py
@@ -18,7 +18,7 @@
 
 # With checkpoints in time, what the last one doesn't cover is younger than a period.
 # After a longer gap its age is unknown, and all that is needed is carried.
-GAP_PERIODS = 1.5
+MAX_CHECKPOINT_AGE_INTERVALS = 1.5
 
 
 class RecordRelocator:
@@ -39,34 +39,34 @@
 
     def list_checkpointed_streams(self):
         """Return the `CheckpointedStream` of each stream that this entry follows."""
-        names = self._table.list_names()
+        names = self._table.list_entry_names()
         order = batch_shard.rank_entries(self._configuration.stream, names)
-        kept = [
+        streams = [
             checkpoint_writer.CheckpointedStream(
                 self._configuration, self._get_rank(order)
             )
         ]
         for number, shard in self._table.followed.items():
             rank = self._get_rank(self._table.list_followers(number))
-            kept.append(
+            streams.append(
                 checkpoint_writer.CheckpointedStream(
-                    shard.replica, rank, self._make_carry(shard)
+                    shard.replica, rank, self._make_relocate(shard)
                 )
             )
-        return kept
+        return streams
 
     def _get_rank(self, order):
         name = self._settings.name
         return order.index(name) if name in order else len(order)
 
-    def _make_carry(self, shard):
-        async def carry():
-            await self._expire(shard)
-            await self._append_again(shard)
+    def _make_relocate(self, shard):
+        async def before_checkpoint():
+            await self._expire_jobs(shard)
+            await self._relocate_records(shard)
 
-        return carry
+        return before_checkpoint
 
-    async def _expire(self, shard):
+    async def _expire_jobs(self, shard):
         """Drop the jobs whose results are no longer owed."""
         before = time.time() - self._settings.result_keep_s
         expired = [
@@ -79,11 +79,14 @@
             await shard.replica.catch_up(self._settings.append_s)
             logger.info("carry: {} jobs of {} expired.", len(expired), shard.stream)
 
-    async def _append_again(self, shard):
+    async def _relocate_records(self, shard):
         replica = shard.replica
         limit = replica.checkpoint_covers
-        gap = GAP_PERIODS * checkpoint_writer.get_checkpoint_interval(self._settings)
-        if replica.get_checkpoint_age() >= gap:
+        max_age_s = (
+            MAX_CHECKPOINT_AGE_INTERVALS
+            * checkpoint_writer.get_checkpoint_interval(self._settings)
+        )
+        if replica.get_checkpoint_age() >= max_age_s:
             limit = replica.offset
         offsets = [each for each in shard.ledger.list_needed_offsets() if each < limit]
         group = []
--- a/pimentowick/batch/shard.py
+++ b/pimentowick/batch/shard.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Shard", "ShardTable", "find_shard", "rank_entries"]
 
-WATCH_S = 0.5
+FOLLOW_INTERVAL_S = 0.5
 # Owners know what the log held at most about twice this time ago.
 READ_WAIT_S = 0.5
 # Nobody acts on the age of a shard without open jobs; a new job ends the wait.
@@ -100,7 +100,7 @@
 
     def __init__(self, log, fleet, settings, owner):
         self.followed = {}
-        self._wanted = 0
+        self._assigned_count = 0
         self._log = log
         self._fleet = fleet
         self._settings = settings
@@ -110,7 +110,7 @@
     async def start(self):
         """Begin to follow."""
         await self._supervisor.start()
-        self._supervisor.start_child("watch", self._watch)
+        self._supervisor.start_child("watch", self._follow_loop)
 
     async def close(self):
         """Stop following."""
@@ -118,33 +118,33 @@
         for shard in self.followed.values():
             await shard.replica.close()
 
-    async def _watch(self):
+    async def _follow_loop(self):
         seen = None
         while True:
-            names = self.list_names()
+            names = self.list_entry_names()
             if self._fleet.read_at is not None and names != seen:
-                await self._follow_all()
+                await self._update_followed()
                 # What is still owned is left once it has been given up.
-                seen = names if len(self.followed) == self._wanted else None
-            await asyncio.sleep(WATCH_S)
+                seen = names if len(self.followed) == self._assigned_count else None
+            await asyncio.sleep(FOLLOW_INTERVAL_S)
 
-    async def _follow_all(self):
-        self._wanted = 0
+    async def _update_followed(self):
+        self._assigned_count = 0
         for number in range(self._settings.shards):
             # With hundreds of entries one shard takes about a millisecond to rank;
             # all of them at once would hold up the requests of the moment.
             await asyncio.sleep(0)
             followers = self.list_followers(number)
-            wanted = self._settings.name in followers
-            self._wanted += wanted
-            if wanted and number not in self.followed:
+            is_assigned = self._settings.name in followers
+            self._assigned_count += is_assigned
+            if is_assigned and number not in self.followed:
                 shard = Shard(number, self._log)
                 self.followed[number] = shard
                 await shard.replica.start()
-            elif not wanted and number in self.followed:
-                await self._leave(number)
+            elif not is_assigned and number in self.followed:
+                await self._unfollow(number)
 
-    async def _leave(self, number):
+    async def _unfollow(self, number):
         shard = self.followed[number]
         if shard.ledger.owner == self._owner:
             # It is given up first; its work ends with the record that says so.
@@ -153,7 +153,7 @@
         await shard.replica.close()
         logger.info("shards: No longer follows shard {}.", number)
 
-    def list_names(self):
+    def list_entry_names(self):
         """Return the names of the entries that may follow, this one included."""
         names = {name for name, host in self._fleet.entries.items() if not host.leaving}
         names.add(self._settings.name)
@@ -161,7 +161,7 @@
 
     def list_followers(self, number):
         """Return the names of the entries that follow a shard, best first."""
-        return rank_entries(number, self.list_names())[: self._settings.followers]
+        return rank_entries(number, self.list_entry_names())[: self._settings.followers]
 
     def find(self, key):
         """Return the `Shard` of a job or call, or None if it is not followed here."""
--- a/pimentowick/batch/tests/test_writer.py
+++ b/pimentowick/batch/tests/test_writer.py
@@ -23,7 +23,7 @@
         results.add(shard, 2, "j", 0, "succeeded", body)
         results.add(shard, 1, "j", 1, "succeeded", body)
         await results.flush()
-        written = [json.loads(text) for _, text in log.kept.read("shard-0", 0)]
+        written = [json.loads(text) for _, text in log.stored.read("shard-0", 0)]
         rows = [(each["epoch"], each["results"]) for each in written]
         assert rows == [(2, [["j", 0, "succeeded", body]])]
         assert results.bytes == 0
--- a/pimentowick/batch/writer.py
+++ b/pimentowick/batch/writer.py
@@ -19,7 +19,7 @@
 
 RECORD_MARGIN_BYTES = 2048
 MAX_BUFFERED_BYTES = 4_194_304
-FULL_PAUSE_S = 1.0
+LOG_FULL_BACKOFF_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,8 +31,8 @@
     results: list = dataclasses.field(default_factory=list)
     sizes: list = dataclasses.field(default_factory=list)
     # The record whose append got no answer, and how many results it holds.
-    unknown: dict | None = None
-    unknown_count: int = 0
+    unconfirmed: dict | None = None
+    unconfirmed_count: int = 0
 
 
 class ResultWriter:
@@ -50,7 +50,9 @@
         self.bytes = 0
         self.appends = 0
         self._settings = settings
-        self._limit = settings.platform.log_record_bytes - RECORD_MARGIN_BYTES
+        self._max_record_bytes = (
+            settings.platform.log_record_bytes - RECORD_MARGIN_BYTES
+        )
         self._buffers = {}
         self._added = asyncio.Event()
         self._supervisor = supervisor.Supervisor("results")
@@ -58,7 +60,7 @@
     async def start(self):
         """Begin to write."""
         await self._supervisor.start()
-        self._supervisor.start_child("write", self._write_always)
+        self._supervisor.start_child("write", self._write_loop)
 
     async def close(self):
         """Stop; what waits is lost, and its items run again."""
@@ -81,9 +83,9 @@
             body: The result.
         """
         size = len(orjson.dumps(body)) + len(job) + 32
-        if size > self._limit:
+        if size > self._max_record_bytes:
             status = "failed"
-            body = _make_oversized(body)
+            body = _make_oversized_error(body)
             size = len(orjson.dumps(body)) + len(job) + 32
         buffer = self._buffers.get(shard.number)
         if buffer is not None and buffer.epoch > epoch:
@@ -105,16 +107,16 @@
         if buffer is not None:
             self.bytes -= sum(buffer.sizes)
 
-    async def _write_always(self):
+    async def _write_loop(self):
         while True:
             await self._added.wait()
             self._added.clear()
             await asyncio.sleep(self._settings.flush_s)
             await self.flush()
-            if self._buffers_hold_results():
+            if self._has_results():
                 self._added.set()
 
-    def _buffers_hold_results(self):
+    def _has_results(self):
         return any(buffer.results for buffer in self._buffers.values())
 
     async def flush(self):
@@ -125,43 +127,45 @@
                     break
 
     async def _write(self, buffer):
-        if buffer.unknown is None:
+        if buffer.unconfirmed is None:
             count = self._count_fitting(buffer)
-            buffer.unknown = batch_record.make_results(
+            buffer.unconfirmed = batch_record.make_results(
                 buffer.epoch, buffer.results[:count], time.time()
             )
-            buffer.unknown_count = count
+            buffer.unconfirmed_count = count
         self.appends += 1
         try:
-            await buffer.shard.replica.log.append(buffer.shard.stream, [buffer.unknown])
+            await buffer.shard.replica.log.append(
+                buffer.shard.stream, [buffer.unconfirmed]
+            )
         except exception.LogFullError:
             # Everybody's appends are over the rate; more of them would not help.
-            await asyncio.sleep(FULL_PAUSE_S)
+            await asyncio.sleep(LOG_FULL_BACKOFF_S)
             return False
         except exception.LogError as error:
             logger.warning("results: Shard {}: {}", buffer.shard.number, error)
             return False
-        self._forget_written(buffer)
+        self._remove_written(buffer)
         return True
 
     def _count_fitting(self, buffer):
         total = 0
         for count, size in enumerate(buffer.sizes):
             total += size
-            if total > self._limit:
+            if total > self._max_record_bytes:
                 return count
         return len(buffer.sizes)
 
-    def _forget_written(self, buffer):
-        count = buffer.unknown_count
+    def _remove_written(self, buffer):
+        count = buffer.unconfirmed_count
         if self._buffers.get(buffer.shard.number) is buffer:
             self.bytes -= sum(buffer.sizes[:count])
         del buffer.results[:count]
         del buffer.sizes[:count]
-        buffer.unknown = None
+        buffer.unconfirmed = None
 
 
-def _make_oversized(body):
+def _make_oversized_error(body):
     return {
         "custom_id": body["custom_id"],
         "response": None,
--- a/pimentowick/placement/claim.py
+++ b/pimentowick/placement/claim.py
@@ -68,7 +68,7 @@
         """Apply one record; see `StateMachine.apply`."""
         kind, owner = record.get("type"), record.get("owner")
         if kind == CLAIM and isinstance(owner, str):
-            self._put(offset + 1, owner, offset)
+            self._set_claim(offset + 1, owner, offset)
             return
         fence = record.get("fence")
         if type(fence) is not int or fence < self.fence:
@@ -78,11 +78,11 @@
         if fence > offset:
             return
         if kind == RENEW and isinstance(owner, str):
-            self._put(fence, owner, offset)
+            self._set_claim(fence, owner, offset)
         elif kind == RELEASE:
-            self._put(fence, None, offset)
+            self._set_claim(fence, None, offset)
 
-    def _put(self, fence, owner, offset):
+    def _set_claim(self, fence, owner, offset):
         self.fence = fence
         self.owner = owner
         self.owner_offset = offset
@@ -99,7 +99,7 @@
     def load(self, parts):
         """Replace the state; see `StateMachine.load`."""
         state = parts[0]
-        self._put(state["fence"], state["owner"], state["shown_at"])
+        self._set_claim(state["fence"], state["owner"], state["shown_at"])
 
 
 class ClaimReplica(replica.Replica):
--- a/pimentowick/placement/executor.py
+++ b/pimentowick/placement/executor.py
@@ -22,13 +22,13 @@
 __all__ = ["Executor"]
 
 BOOT_BYTES = 8
-ENDED_KEPT = 64
-OVERLAY_S = 10.0
+MAX_ENDED_ORDERS = 64
+MAX_REPORT_LAG_S = 10.0
 """Longest lag of the engine's own report of what is loaded."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Overlay:
+class _ReportOverride:
     loaded: bool
     until: float
 
@@ -64,8 +64,8 @@
         self._current = None
         self._sending = False
         self._ended = collections.OrderedDict()
-        self._transferred = None
-        self._overlays = {}
+        self._last_transfer = None
+        self._overrides = {}
         self._supervisor = supervisor.Supervisor("orders")
 
     async def start(self):
@@ -106,7 +106,7 @@
             raise exception.ConflictError("The order is meant for an earlier process.")
         if order.fence < self.fence:
             raise exception.ConflictError("A newer decider has given orders.")
-        self._raise_fence(order.fence)
+        self._update_fence(order.fence)
         if order.action == placement_order.FENCE:
             return self._make_status(placement_order.DONE)
         ended = self._ended.get(order.id)
@@ -124,7 +124,7 @@
     def _make_status(self, state, error=""):
         return placement_order.Status(state, self.fence, self.boot, error)
 
-    def _raise_fence(self, fence):
+    def _update_fence(self, fence):
         if fence == self.fence:
             return
         self.fence = fence
@@ -132,7 +132,7 @@
             # The transfer of an older decider would take the store's rate from
             # what the new one decides.
             self._supervisor.stop_child("order")
-            self._end(self._current, placement_order.SUPERSEDED)
+            self._finish_order(self._current, placement_order.SUPERSEDED)
 
     async def _run(self, order):
         state, error = placement_order.FAILED, ""
@@ -144,7 +144,7 @@
             error = str(caught)
         finally:
             self._sending = False
-        self._end(order, state, error)
+        self._finish_order(order, state, error)
 
     async def _prepare(self, order):
         await asyncio.sleep(max(0.0, self._settled_at - time.monotonic()))
@@ -155,9 +155,9 @@
             await self._drain(*key)
             return
         wanted = (*key, order.version)
-        if self._weights is not None and self._transferred != wanted:
+        if self._weights is not None and self._last_transfer != wanted:
             await self._weights.transfer(order.name, order.version)
-            self._transferred = wanted
+            self._last_transfer = wanted
 
     async def _send(self, order):
         fields = {"name": order.name, "kind": order.kind}
@@ -170,21 +170,23 @@
             # nothing counts on what it was about.
             logger.warning("orders: {} {}: {}", order.action, order.name, error)
             return placement_order.UNKNOWN
-        self._note_done(order)
+        self._record_done(order)
         return placement_order.DONE
 
-    def _note_done(self, order):
+    def _record_done(self, order):
         key = (order.kind, order.name)
         loaded = order.action == placement_order.LOAD
         # The engine's report lags: it would still show what has just gone, and the
         # decider would take this engine for a replica.
-        self._overlays[key] = _Overlay(loaded, time.monotonic() + OVERLAY_S)
+        self._overrides[key] = _ReportOverride(
+            loaded, time.monotonic() + MAX_REPORT_LAG_S
+        )
         self.versions.pop(key, None)
         if loaded:
             self.versions[key] = order.version
         logger.info("orders: {} {} {} done.", order.action, order.kind, order.name)
 
-    def _end(self, order, state, error=""):
+    def _finish_order(self, order, state, error=""):
         if self._current is not order:
             return
         self._current = None
@@ -192,7 +194,7 @@
             self.unloading.discard((order.kind, order.name))
         self._ended[order.id] = (state, error)
         self._ended.move_to_end(order.id)
-        if len(self._ended) > ENDED_KEPT:
+        if len(self._ended) > MAX_ENDED_ORDERS:
             self._ended.popitem(last=False)
         if error:
             logger.warning("orders: {} {}: {}", order.action, order.name, error)
@@ -206,10 +208,10 @@
         """
         names = set(reported)
         now = time.monotonic()
-        for (each, name), overlay in list(self._overlays.items()):
-            if overlay.until <= now:
-                del self._overlays[each, name]
-            elif each == kind and overlay.loaded:
+        for (each, name), override in list(self._overrides.items()):
+            if override.until <= now:
+                del self._overrides[each, name]
+            elif each == kind and override.loaded:
                 names.add(name)
             elif each == kind:
                 names.discard(name)
--- a/pimentowick/placement/placement_controller.py
+++ b/pimentowick/placement/placement_controller.py
@@ -21,22 +21,22 @@
 
 __all__ = ["PlacementController"]
 
-TICK_S = 0.1
-IDLE_TURNS_PER_TAKEOVER = 12
+CHECK_INTERVAL_S = 0.1
+IDLE_CHECKS_PER_TAKEOVER = 12
 """Turns of an entry that doesn't decide in the silence it waits for."""
-RENEWS_PER_TAKEOVER = 3
+RENEWALS_PER_TAKEOVER = 3
 RANK_DELAY_S = 1.0
-FRESH_READS = 3
+MAX_LAG_READS = 3
 ORDER_TIMEOUT_S = 2.0
 ORDER_POLL_S = 0.1
-FAILED_PAUSE_S = 2.0
-FENCES_AT_ONCE = 32
-FENCE_PAUSE_S = 1.0
-REPORTS_AWAITED = 4
-IN_USE_DEMAND = 0.5
-PLAN_PAUSES = 50
+FAILURE_BACKOFF_S = 2.0
+MAX_CONCURRENT_FENCES = 32
+FENCE_RETRY_S = 1.0
+MAX_MISSED_REPORTS = 4
+MIN_DEMAND_IN_USE = 0.5
+PLAN_IDLE_RATIO = 50
 DEMAND_HALF_LIFE_S = 30.0
-PLACES_SHARE = 0.5
+SLOT_UTILIZATION = 0.5
 
 
 class PlacementController:
@@ -66,13 +66,13 @@
         self._get_fleet = get_fleet
         self._fence = 0
         self._fenced = {}
-        self._tried_at = {}
-        self._seen = {}
+        self._fence_sent_at = {}
+        self._last_models = {}
         self._ended_at = {}
         self._failed_at = {}
         self._demand = collections.Counter()
         self._decided_at = time.monotonic()
-        self._shown_at = None
+        self._owner_offset = None
         self._silent_s = 0.0
         self._plan_at = 0.0
         self._renewed_at = 0.0
@@ -113,7 +113,7 @@
     async def _run(self):
         while True:
             began = time.monotonic()
-            pause = self._get_pause()
+            pause = self._get_check_interval()
             await asyncio.sleep(pause)
             # Time in which this process was frozen is not the decider's silence.
             elapsed = min(time.monotonic() - began, 2 * pause)
@@ -121,48 +121,54 @@
                 continue
             if not self._get_fleet().models:
                 continue
-            await self._keep_claim(elapsed)
+            await self._update_claim(elapsed)
             self._fleet.see_all(self.is_owner)
             if self.is_owner:
                 await self._decide()
 
-    def _get_pause(self):
+    def _get_check_interval(self):
         """Return the time until the next turn, in seconds.
 
         Most entries never decide; turns as short as the decider's would be most of
         what an idle entry costs.
         """
         if self.is_owner or self._claims.owner is None:
-            return TICK_S if self._get_fleet().models else self._get_idle_pause()
-        return self._get_idle_pause()
+            return (
+                CHECK_INTERVAL_S
+                if self._get_fleet().models
+                else self._get_idle_interval()
+            )
+        return self._get_idle_interval()
 
-    def _get_idle_pause(self):
-        return max(TICK_S, self._settings.takeover_s / IDLE_TURNS_PER_TAKEOVER)
+    def _get_idle_interval(self):
+        return max(
+            CHECK_INTERVAL_S, self._settings.takeover_s / IDLE_CHECKS_PER_TAKEOVER
+        )
 
-    async def _keep_claim(self, elapsed):
+    async def _update_claim(self, elapsed):
         claims = self._claims
-        if claims.owner_offset != self._shown_at:
-            self._shown_at = claims.owner_offset
+        if claims.owner_offset != self._owner_offset:
+            self._owner_offset = claims.owner_offset
             self._silent_s = 0.0
-        elif self._reads():
+        elif self._is_reading():
             self._silent_s += elapsed
         try:
             if self.is_owner:
                 await self._renew()
-            elif self._silent_s >= self._get_patience():
+            elif self._silent_s >= self._get_claim_delay():
                 self._silent_s = 0.0
                 record = placement_claim.make_claim(self._owner)
                 await self.replica.append([record], self._settings.append_s)
         except exception.LogError as error:
             logger.warning("placement: {}", error)
 
-    def _reads(self):
+    def _is_reading(self):
         # A read that waits for a record is this old already when it ends.
-        least = FRESH_READS * placement_claim.READ_WAIT_S
+        least = MAX_LAG_READS * placement_claim.READ_WAIT_S
         age = time.monotonic() - self.replica.caught_up_at
-        return age < max(least, self._settings.takeover_s / RENEWS_PER_TAKEOVER)
+        return age < max(least, self._settings.takeover_s / RENEWALS_PER_TAKEOVER)
 
-    def _get_patience(self):
+    def _get_claim_delay(self):
         names = {n for n, host in self._fleet.entries.items() if not host.leaving}
         names.add(self._settings.name)
         order = shard.rank_entries(placement_claim.STREAM, names)
@@ -173,7 +179,7 @@
 
     async def _renew(self):
         now = time.monotonic()
-        if now - self._renewed_at < self._settings.takeover_s / RENEWS_PER_TAKEOVER:
+        if now - self._renewed_at < self._settings.takeover_s / RENEWALS_PER_TAKEOVER:
             return
         self._renewed_at = now
         record = placement_claim.make_renew(self._owner, self._claims.fence)
@@ -185,7 +191,7 @@
             logger.info("placement: This entry decides, fence {}.", fence)
             self._fence = fence
             self._fenced = {}
-            self._tried_at = {}
+            self._fence_sent_at = {}
         await self._fence_all(self._list_peers())
         if not self.is_owner or self._claims.fence != fence:
             return
@@ -194,16 +200,16 @@
             return
         self._plan()
         # A plan for a large fleet takes a while, and this loop serves callers, too.
-        self._plan_at = began + PLAN_PAUSES * (time.monotonic() - began)
+        self._plan_at = began + PLAN_IDLE_RATIO * (time.monotonic() - began)
 
     def _plan(self):
         peers = self._list_peers()
         configuration = self._get_fleet()
-        wanted = self._list_wanted(configuration, peers)
+        desired = self._list_desired_models(configuration, peers)
         engines = self._list_engines(peers)
         loads = configuration.max_loads - len(self.pending)
-        for move in placement_plan.make_plan(wanted, engines, loads):
-            self._begin(move)
+        for change in placement_plan.make_plan(desired, engines, loads):
+            self._start_change(change)
 
     def _list_peers(self):
         return [
@@ -223,7 +229,7 @@
             (peer, peer.report["boot"])
             for peer in peers
             if self._fenced.get(peer.name) != peer.report["boot"]
-            and now - self._tried_at.get(peer.name, 0.0) > FENCE_PAUSE_S
+            and now - self._fence_sent_at.get(peer.name, 0.0) > FENCE_RETRY_S
         ]
         if not fresh:
             return
@@ -237,11 +243,11 @@
         if not confirmed or not self.is_owner or self._claims.fence != fence:
             return
         # Agents that hang must not keep this task from renewing the claim.
-        chosen = random.sample(fresh, min(FENCES_AT_ONCE, len(fresh)))
+        chosen = random.sample(fresh, min(MAX_CONCURRENT_FENCES, len(fresh)))
         await asyncio.gather(*(self._send_fence(peer, boot) for peer, boot in chosen))
 
     async def _send_fence(self, peer, boot):
-        self._tried_at[peer.name] = time.monotonic()
+        self._fence_sent_at[peer.name] = time.monotonic()
         order = self._make_order(boot, placement_order.FENCE)
         if await self._send(peer, order) is not None:
             self._fenced[peer.name] = boot
@@ -290,22 +296,22 @@
         engines = []
         for peer in peers:
             if self._is_reliable(peer):
-                engine = self._describe(peer)
-                models = engine.models | {engine.pending} - {None}
-                self._seen[peer.name] = (models, now)
+                engine = self._make_engine_state(peer)
+                models = engine.models | {engine.loading} - {None}
+                self._last_models[peer.name] = (models, now)
                 engines.append(engine)
         known = {engine.agent for engine in engines}
         reported = {peer.name: set(peer.report["models"]) for peer in peers}
         intervals = {peer.name: peer.interval_s for peer in peers}
-        for name, (models, at) in list(self._seen.items()):
+        for name, (models, at) in list(self._last_models.items()):
             # The report after an order is as far away as the next heartbeats.
-            reports_s = REPORTS_AWAITED * intervals.get(name, 0.0)
+            reports_s = MAX_MISSED_REPORTS * intervals.get(name, 0.0)
             if now - at > max(self._settings.takeover_s, reports_s):
-                del self._seen[name]
+                del self._last_models[name]
             else:
                 reported[name] = reported.get(name, set()) | models
         for name in reported.keys() - known:
-            probable_models = reported[name] - self._get_leaving(name)
+            probable_models = reported[name] - self._get_unloading(name)
             engines.append(
                 placement_plan.EngineState(
                     name, "", set(), busy=True, probable_models=probable_models
@@ -313,13 +319,13 @@
             )
         return engines
 
-    def _get_leaving(self, agent):
+    def _get_unloading(self, agent):
         order = self.pending.get(agent)
         if order is None or order.action != placement_order.UNLOAD:
             return set()
         return {order.name}
 
-    def _describe(self, peer):
+    def _make_engine_state(self, peer):
         report = peer.report
         order = self.pending.get(peer.name)
         engine = placement_plan.EngineState(
@@ -332,28 +338,31 @@
         )
         failed_at = self._failed_at.get(peer.name)
         if failed_at is not None:
-            engine.busy = time.monotonic() - failed_at < FAILED_PAUSE_S
+            engine.busy = time.monotonic() - failed_at < FAILURE_BACKOFF_S
         if order is not None:
             engine.busy = True
             if order.kind == placement_plan.MODEL:
                 # It is neither relied on as a replica nor, while it loads, missed.
                 engine.models.discard(order.name)
                 loads = order.action == placement_order.LOAD
-                engine.pending = order.name if loads else None
+                engine.loading = order.name if loads else None
         return engine
 
-    def _list_wanted(self, configuration, peers):
+    def _list_desired_models(self, configuration, peers):
         now = time.monotonic()
-        self._note_demand(peers, now - self._decided_at)
+        self._update_demand(peers, now - self._decided_at)
         self._decided_at = now
-        places = [peer.report["max_online"] for peer in peers] or [1]
-        share = PLACES_SHARE * sum(places) / len(places)
-        wanted = [
+        slots = [peer.report["max_online"] for peer in peers] or [1]
+        slots_per_replica = SLOT_UTILIZATION * sum(slots) / len(slots)
+        desired = [
             placement_plan.DesiredModel(
                 name,
                 model.version,
                 placement_plan.compute_replica_count(
-                    self._demand[name], share, model.replicas_min, model.replicas_max
+                    self._demand[name],
+                    slots_per_replica,
+                    model.replicas_min,
+                    model.replicas_max,
                 ),
                 model.adapters,
             )
@@ -361,14 +370,14 @@
         ]
         # What is no longer configured goes when its slot is needed, but not from
         # under its users.
-        wanted += [
+        desired += [
             placement_plan.DesiredModel(name, replicas=0)
             for name, demand in self._demand.items()
-            if demand >= IN_USE_DEMAND and name not in configuration.models
+            if demand >= MIN_DEMAND_IN_USE and name not in configuration.models
         ]
-        return wanted
+        return desired
 
-    def _note_demand(self, peers, elapsed_s):
+    def _update_demand(self, peers, elapsed_s):
         """Follow the demand up at once, and down slowly.
 
         Replicas that came with each burst and went after it would only move weights.
@@ -380,25 +389,27 @@
         for name in {*demand, *self._demand}:
             self._demand[name] = max(demand[name], self._demand[name] * decay)
 
-    def _begin(self, move):
-        peer = self._fleet.peers[move.agent]
+    def _start_change(self, change):
+        peer = self._fleet.peers[change.agent]
         order = self._make_order(
-            self._fenced[move.agent],
-            move.action,
-            kind=move.kind,
-            name=move.name,
-            version=move.version,
+            self._fenced[change.agent],
+            change.action,
+            kind=change.kind,
+            name=change.name,
+            version=change.version,
+        )
+        logger.info("placement: {}: {} {}.", change.agent, change.action, change.name)
+        self.pending[change.agent] = order
+        self._supervisor.start_child(
+            f"order {change.agent}", self._run_order, peer, order
         )
-        logger.info("placement: {}: {} {}.", move.agent, move.action, move.name)
-        self.pending[move.agent] = order
-        self._supervisor.start_child(f"order {move.agent}", self._see_to, peer, order)
 
-    async def _see_to(self, peer, order):
+    async def _run_order(self, peer, order):
         """Repeat an order until the agent says how it ended."""
         try:
             while self._is_current(peer, order):
                 status = await self._send(peer, order)
-                if status is not None and self._is_ended(peer, order, status):
+                if status is not None and self._has_ended(peer, order, status):
                     break
                 await asyncio.sleep(ORDER_POLL_S)
         finally:
@@ -417,7 +428,7 @@
             and self._fleet.peers.get(peer.name) is peer
         )
 
-    def _is_ended(self, peer, order, status):
+    def _has_ended(self, peer, order, status):
         if status.state == placement_order.FAILED:
             self._failed_at[peer.name] = time.monotonic()
             logger.warning(
--- a/pimentowick/placement/plan.py
+++ b/pimentowick/placement/plan.py
@@ -52,7 +52,7 @@
         versions: Version by ``kind/name``, where it is known.
         slots: Most models that it holds.
         busy: Whether an order for it is under way.
-        pending: Model that is being loaded, or None.
+        loading: Model that is being loaded, or None.
         probable_models: Models that are probably loaded: they are not loaded on another
             engine, and they do not count as replicas when one is unloaded.
     """
@@ -64,16 +64,16 @@
     versions: dict = dataclasses.field(default_factory=dict)
     slots: int = 1
     busy: bool = False
-    pending: str | None = None
+    loading: str | None = None
     probable_models: set = dataclasses.field(default_factory=set)
 
-    def list_expected(self):
+    def list_expected_models(self):
         """Return the models that are there, probably there, or on their way."""
-        return self.models | self.probable_models | ({self.pending} - {None})
+        return self.models | self.probable_models | ({self.loading} - {None})
 
-    def count_used(self):
+    def count_used_slots(self):
         """Return how many slots are taken or about to be."""
-        extra = self.pending is not None and self.pending not in self.models
+        extra = self.loading is not None and self.loading not in self.models
         return len(self.models) + extra
 
 
@@ -88,11 +88,11 @@
     version: str = ""
 
 
-def make_plan(wanted, engines, max_changes):
+def make_plan(desired, engines, max_changes):
     """Return the moves that may begin now.
 
     Args:
-        wanted: List of `DesiredModel`.
+        desired: List of `DesiredModel`.
         engines: List of `EngineState`, updated in place as if the changes were
             done. `EngineState.models` may only hold models that no earlier controller
             can still unload.
@@ -105,28 +105,30 @@
         [PlacementChange(agent='a', action='unload', kind='model', name='old', \
 version='')]
     """
-    return _Plan(wanted, engines, max_changes).make()
+    return _Planner(desired, engines, max_changes).make()
 
 
-class _Plan:
-    def __init__(self, wanted, engines, max_changes):
-        self.wanted = {each.name: each for each in wanted}
+class _Planner:
+    def __init__(self, desired, engines, max_changes):
+        self.desired = {each.name: each for each in desired}
         self.engines = engines
         self.max_changes = max_changes
-        self.moves = []
+        self.changes = []
         # Counted once: a fleet has too many engines to go through for each step.
         self._ready = collections.Counter()
         self._expected = collections.Counter()
         for engine in engines:
             self._ready.update(engine.models)
-            self._expected.update(engine.list_expected())
+            self._expected.update(engine.list_expected_models())
         self._idle = [engine for engine in engines if not engine.busy]
-        self._roomy = [each for each in self._idle if each.count_used() < each.slots]
+        self._with_free_slot = [
+            each for each in self._idle if each.count_used_slots() < each.slots
+        ]
 
     def make(self):
         # A model without any replica comes first: its users are refused.
         order = sorted(
-            self.wanted.values(),
+            self.desired.values(),
             key=lambda each: (
                 self._expected[each.name] / max(1, each.replicas),
                 each.name,
@@ -135,69 +137,71 @@
         for each in order:
             self._place(each)
         for each in order:
-            self._renew(each)
+            self._update_version(each)
             self._add_adapters(each)
-        return self.moves
+        return self.changes
 
     def _list_holders(self, name):
         return [engine for engine in self.engines if name in engine.models]
 
-    def _place(self, wanted):
-        while self.max_changes > 0 and self._expected[wanted.name] < wanted.replicas:
-            if not self._place_one(wanted):
+    def _place(self, desired):
+        while self.max_changes > 0 and self._expected[desired.name] < desired.replicas:
+            if not self._place_one(desired):
                 return
 
-    def _place_one(self, wanted):
-        if self._list_free(wanted):
-            return self._load_new(wanted)
-        return self._make_room(wanted)
+    def _place_one(self, desired):
+        if self._list_free(desired):
+            return self._load_new(desired)
+        return self._make_room(desired)
 
-    def _list_free(self, wanted):
+    def _list_free(self, desired):
         return [
             engine
-            for engine in self._roomy
-            if not engine.busy and wanted.name not in engine.models
+            for engine in self._with_free_slot
+            if not engine.busy and desired.name not in engine.models
         ]
 
-    def _load_new(self, wanted):
-        free = self._list_free(wanted)
+    def _load_new(self, desired):
+        free = self._list_free(desired)
         if not free or self.max_changes <= 0:
             return False
         # Models are spread over failure domains first, and over engines then.
-        near = collections.Counter(
+        replicas_by_domain = collections.Counter(
             engine.failure_domain
             for engine in self.engines
-            if wanted.name in engine.models or wanted.name == engine.pending
+            if desired.name in engine.models or desired.name == engine.loading
         )
         engine = min(
             free,
             key=lambda each: (
-                near[each.failure_domain],
-                each.count_used(),
+                replicas_by_domain[each.failure_domain],
+                each.count_used_slots(),
                 each.agent,
             ),
         )
-        self._load(engine, MODEL, wanted.name, wanted.version)
-        engine.pending = wanted.name
-        self._expected[wanted.name] += 1
+        self._load(engine, MODEL, desired.name, desired.version)
+        engine.loading = desired.name
+        self._expected[desired.name] += 1
         return True
 
-    def _make_room(self, wanted):
-        desperate = self._expected[wanted.name] == 0
-        surpluses = {name: self._get_surplus(name, desperate) for name in self._ready}
-        spare = {name for name, surplus in surpluses.items() if surplus > 0}
-        if not spare:
+    def _make_room(self, desired):
+        allow_below_desired = self._expected[desired.name] == 0
+        surpluses = {
+            name: self._get_surplus(name, allow_below_desired) for name in self._ready
+        }
+        surplus_models = {name for name, surplus in surpluses.items() if surplus > 0}
+        if not surplus_models:
             return False
         found = [
             (-surpluses[name], engine.agent, name, engine)
             for engine in self._idle
-            if not engine.busy and wanted.name not in engine.models
-            for name in engine.models & spare
+            if not engine.busy and desired.name not in engine.models
+            for name in engine.models & surplus_models
         ]
         if not found:
             return False
         _, _, name, engine = min(found, key=lambda each: each[:3])
-        self.moves.append(
+        self.changes.append(
             PlacementChange(engine.agent, placement_order.UNLOAD, MODEL, name)
         )
         engine.models.discard(name)
@@ -208,42 +212,42 @@
         # The slot is free once the unload has ended; the next plan fills it.
         return False
 
-    def _get_surplus(self, name, desperate):
+    def _get_surplus(self, name, allow_below_desired):
         """Return how many ready replicas of a model could go."""
         ready = self._ready[name]
-        wanted = self.wanted.get(name)
-        if wanted is None:
+        desired = self.desired.get(name)
+        if desired is None:
             return ready
         # When another model has none at all, everybody is left one.
-        least = 1 if desperate else max(1, wanted.replicas)
-        return ready - least
+        min_replicas = 1 if allow_below_desired else max(1, desired.replicas)
+        return ready - min_replicas
 
-    def _renew(self, wanted):
+    def _update_version(self, desired):
         """Load a new version where others hold the model meanwhile."""
-        if not wanted.version:
+        if not desired.version:
             return
-        holders = self._list_holders(wanted.name)
+        holders = self._list_holders(desired.name)
         if any(engine.busy for engine in holders):
             return
-        key = f"{MODEL}/{wanted.name}"
-        old = [each for each in holders if each.versions.get(key) != wanted.version]
+        key = f"{MODEL}/{desired.name}"
+        old = [each for each in holders if each.versions.get(key) != desired.version]
         if not old:
             return
         if len(holders) == 1:
             # The only replica must answer meanwhile: a second one has to come first.
-            if self._expected[wanted.name] == 1:
-                self._load_new(wanted)
+            if self._expected[desired.name] == 1:
+                self._load_new(desired)
             return
         if self.max_changes > 0:
-            self._load(old[0], MODEL, wanted.name, wanted.version)
+            self._load(old[0], MODEL, desired.name, desired.version)
             # It may not answer until the load has ended.
-            old[0].models.discard(wanted.name)
-            old[0].pending = wanted.name
-            self._ready[wanted.name] -= 1
+            old[0].models.discard(desired.name)
+            old[0].loading = desired.name
+            self._ready[desired.name] -= 1
 
-    def _add_adapters(self, wanted):
-        for engine in self._list_holders(wanted.name):
-            for name, version in wanted.adapters.items():
+    def _add_adapters(self, desired):
+        for engine in self._list_holders(desired.name):
+            for name, version in desired.adapters.items():
                 known = engine.versions.get(f"{ADAPTER}/{name}")
                 if name in engine.adapters and known in (None, version):
                     continue
@@ -251,24 +255,26 @@
                     self._load(engine, ADAPTER, name, version)
 
     def _load(self, engine, kind, name, version):
-        self.moves.append(
+        self.changes.append(
             PlacementChange(engine.agent, placement_order.LOAD, kind, name, version)
         )
         engine.busy = True
         self.max_changes -= 1
 
 
-def compute_replica_count(demand, places, least, most):
+def compute_replica_count(demand, slots_per_replica, min_replicas, max_replicas):
     """Return how many replicas carry a demand.
 
     Args:
         demand: Requests at once.
-        places: Requests at once that one replica is to have.
-        least: Fewest replicas.
-        most: Most replicas.
+        slots_per_replica: Requests at once that one replica is to have.
+        min_replicas: Fewest replicas.
+        max_replicas: Most replicas.
 
     Examples:
         >>> compute_replica_count(0, 32, 1, 4), compute_replica_count(70, 32, 1, 4)
         (1, 3)
     """
-    return max(least, min(most, math.ceil(demand / max(1, places))))
+    return max(
+        min_replicas, min(max_replicas, math.ceil(demand / max(1, slots_per_replica)))
+    )
--- a/pimentowick/placement/tests/conftest.py
+++ b/pimentowick/placement/tests/conftest.py
@@ -66,7 +66,7 @@
         answer = await self.client.fetch("POST", self.agent.address, "/orders", body)
         return answer.status, answer.decode()
 
-    async def see_to(self, order):
+    async def wait_until_ended(self, order):
         """Repeat an order until it has ended, and return how."""
         async with asyncio.timeout(WAIT_S):
             while True:
--- a/pimentowick/placement/tests/test_executor.py
+++ b/pimentowick/placement/tests/test_executor.py
@@ -9,7 +9,7 @@
         order = bench.make_order(5)
         for _ in range(5):
             await bench.send(order)
-        assert await bench.see_to(order) == "done"
+        assert await bench.wait_until_ended(order) == "done"
         await bench.send(order)
         assert bench.list_orders() == [("load", "new")]
         assert bench.store.transfers == 1
@@ -19,13 +19,13 @@
 
 
 @pytest.mark.parametrize("check_fence", [True, False])
-def test_a_stale_decider_is_refused(run_bench, check_fence):
+def test_a_stale_controller_is_refused(run_bench, check_fence):
     """A decider is frozen, another one takes over, and the first wakes up and sends
     what it had decided. If it were obeyed, users would lose a model that the new
     decider counts on. Half of the engines would obey it."""
 
     async def check(bench):
-        assert await bench.see_to(bench.make_order(7)) == "done"
+        assert await bench.wait_until_ended(bench.make_order(7)) == "done"
         stale = bench.make_order(6, "unload", "old")
         assert (await bench.send(stale))[0] == 409
         assert bench.list_orders() == [("load", "new")]
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("check_fence", [True, False])
-def test_a_stale_decider_is_refused_after_a_restart_of_the_agent(
+def test_a_stale_controller_is_refused_after_a_restart_of_the_agent(
     run_bench, check_fence
 ):
     """The agent has obeyed the new decider and is started again, so it remembers no
@@ -43,12 +43,12 @@
 
     async def check(bench):
         stale = bench.make_order(6, "unload", "old")
-        assert await bench.see_to(bench.make_order(7)) == "done"
+        assert await bench.wait_until_ended(bench.make_order(7)) == "done"
         await bench.restart_agent()
         assert bench.agent.orders.fence == 0
         assert (await bench.send(stale))[0] == 409
         assert bench.list_orders() == [("load", "new")]
-        assert await bench.see_to(bench.make_order(7, name="other")) == "done"
+        assert await bench.wait_until_ended(bench.make_order(7, name="other")) == "done"
 
     run_bench(check, check_fence=check_fence)
 
@@ -73,14 +73,14 @@
     not done, users would be sent to a model that is gone."""
 
     async def check(bench):
-        await bench.see_to(bench.make_order(5))
+        await bench.wait_until_ended(bench.make_order(5))
         bench.place_fault(bench.engine, "lose_answer", count=1, path="/orders")
         order = bench.make_order(5, "unload", "old")
         await bench.send(order)
         await bench.wait_for(lambda: len(bench.list_orders()) == 2)
         await bench.wait_for(lambda: bench.agent.orders._current is None)
         assert "old" not in bench.agent.describe()["models"]
-        assert await bench.see_to(order) == "done"
+        assert await bench.wait_until_ended(order) == "done"
         assert "old" not in bench.agent.describe()["models"]
         assert bench.list_orders() == [("load", "new")] + [("unload", "old")] * 2
 
@@ -93,7 +93,7 @@
 
     async def check(bench):
         bench.place_fault(bench.engine, "lose_answer", count=1, path="/orders")
-        assert await bench.see_to(bench.make_order(5)) == "done"
+        assert await bench.wait_until_ended(bench.make_order(5)) == "done"
         assert bench.list_orders() == [("load", "new")] * 2
         assert bench.store.transfers == 1
 
@@ -106,16 +106,16 @@
 
     async def check(bench):
         bench.place_fault(bench.store, "down")
-        assert await bench.see_to(bench.make_order(5)) == "failed"
+        assert await bench.wait_until_ended(bench.make_order(5)) == "failed"
         assert bench.list_orders() == []
         assert "old" in bench.agent.describe()["models"]
         bench.place_fault(bench.store, "clear")
-        assert await bench.see_to(bench.make_order(5)) == "done"
+        assert await bench.wait_until_ended(bench.make_order(5)) == "done"
 
     run_bench(check)
 
 
-def test_a_newer_decider_ends_the_transfer_of_an_older_one(run_bench):
+def test_a_newer_controller_cancels_the_transfer_of_an_older_one(run_bench):
     """A decider dies in the middle of a long transfer. If the transfer went on, the
     next decider would wait for what it may not even want."""
 
@@ -127,7 +127,7 @@
         assert (await bench.send(bench.make_order(9, "fence", "")))[0] == 200
         assert (await bench.send(old))[0] == 409
         bench.store.bytes_per_s = 1e6
-        assert await bench.see_to(bench.make_order(9, name="other")) == "done"
+        assert await bench.wait_until_ended(bench.make_order(9, name="other")) == "done"
         assert bench.list_orders() == [("load", "other")]
 
     run_bench(check)
--- a/pimentowick/placement/tests/test_placement_controller.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -14,7 +14,7 @@
 }
 
 
-class Placed(embedded.Embedded):
+class PlacedFleet(embedded.Embedded):
     """An embedded deployment with a weight store and placed models."""
 
     def __init__(self, max_models=2, **fields):
@@ -43,14 +43,13 @@
         body = {"models": models, **fields}
         return await self.change("fleet", "fleet", amends, body)
 
-    def find_decider(self):
+    def find_controller(self):
         """Return the name of the entry that gives orders, or None."""
         for name, entry in self.entries.items():
-            placement_controller = entry.placement_controller
+            controller = entry.placement_controller
             if (
-                placement_controller.is_owner
-                and placement_controller._fence
-                == placement_controller.replica.state_machine.fence
+                controller.is_owner
+                and controller._fence == controller.replica.state_machine.fence
             ):
                 return name
         return None
@@ -79,10 +78,10 @@
 
 
 @pytest.fixture
-def run_placed():
+def run_placed_fleet():
     def run(check, **fields):
         async def start_and_check():
-            fleet = Placed(**fields)
+            fleet = PlacedFleet(**fields)
             try:
                 await fleet.start()
                 await check(fleet)
@@ -94,23 +93,21 @@
     return run
 
 
-async def freeze_decider(fleet):
+async def freeze_controller(fleet):
     """Stop the reads of the decider, so that it goes on believing in its claim."""
     await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
     await fleet.wait_for(fleet.is_settled)
-    name = fleet.find_decider()
-    placement_controller = fleet.entries[name].placement_controller
-    placement_controller.replica._supervisor.stop_child("follow")
-    return name, placement_controller
+    name = fleet.find_controller()
+    controller = fleet.entries[name].placement_controller
+    controller.replica._supervisor.stop_child("follow")
+    return name, controller
 
 
-def count_orders_of(fleet, placement_controller):
-    return sum(
-        order["fence"] == placement_controller._fence for order in fleet.list_orders()
-    )
+def count_orders_of(fleet, controller):
+    return sum(order["fence"] == controller._fence for order in fleet.list_orders())
 
 
-def test_a_configured_model_is_loaded_and_found(run_placed):
+def test_a_configured_model_is_loaded_and_found(run_placed_fleet):
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
@@ -119,10 +116,10 @@
         assert fleet.count_orders() == {("load", NEW): 1}
         assert fleet.count_ready(embedded.MODEL) == 2
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_nothing_is_ordered_without_a_configuration(run_placed):
+def test_nothing_is_ordered_without_a_configuration(run_placed_fleet):
     async def check(fleet):
         await fleet.chat("hello")
         assert fleet.list_orders() == []
@@ -130,10 +127,10 @@
             entry.placement_controller.is_owner for entry in fleet.entries.values()
         )
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_decider_that_is_killed_in_mid_change_is_replaced(run_placed):
+def test_a_controller_that_is_killed_during_a_change_is_replaced(run_placed_fleet):
     """The entry that decides is lost while an engine waits for weights. The model
     that the operator asked for must still come, once, and no user may miss the one
     that is there."""
@@ -142,7 +139,7 @@
         fleet.store.bytes_per_s = 1.0
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
-        await fleet.crash(fleet.find_decider())
+        await fleet.crash(fleet.find_controller())
         # The transfer under way still has its old rate; the next decider ends it.
         fleet.store.bytes_per_s = 1e6
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
@@ -151,12 +148,12 @@
         assert fleet.store.transfers == 2
         assert fleet.count_ready(embedded.MODEL) == 2
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
 @pytest.mark.parametrize("check_fence", [True, False])
-def test_a_frozen_decider_orders_nothing_after_another_took_over(
-    run_placed, check_fence
+def test_a_frozen_controller_orders_nothing_after_a_takeover(
+    run_placed_fleet, check_fence
 ):
     """The entry that decides is frozen with orders in its hands, another one claims,
     and the first wakes up. What it still sends must reach no engine, whether the
@@ -164,7 +161,7 @@
 
     async def check(fleet):
         await fleet.place(MODELS)
-        first, frozen = await freeze_decider(fleet)
+        first, frozen = await freeze_controller(fleet)
         fence = frozen._fence
         other = next(name for name in fleet.entries if name != first)
         claim = placement_claim.make_claim(fleet.entries[other].owner)
@@ -183,16 +180,16 @@
                 assert await frozen._send(peer, order) is None
         assert count_orders_of(fleet, frozen) == before
 
-    run_placed(check, engine_settings={"check_fence": check_fence})
+    run_placed_fleet(check, engine_settings={"check_fence": check_fence})
 
 
-def test_a_frozen_decider_can_not_use_an_agent_that_was_started_again(run_placed):
+def test_a_frozen_controller_can_not_use_a_restarted_agent(run_placed_fleet):
     """As before, and the agents are started again meanwhile, so none remembers the
     number. The frozen decider must not win over them by asking for their ids."""
 
     async def check(fleet):
         await fleet.place(MODELS)
-        _, frozen = await freeze_decider(fleet)
+        _, frozen = await freeze_controller(fleet)
         fence = await fleet.claim_for("nobody#1")
         # The claim of somebody who never acts: only the log knows of it.
         before = count_orders_of(fleet, frozen)
@@ -206,16 +203,16 @@
         await fleet.wait_for(
             lambda: peers[name].report.get("boot") == agent.orders.boot
         )
-        frozen._tried_at.clear()
+        frozen._fence_sent_at.clear()
         await frozen._fence_all([peers[name]])
         assert frozen.is_owner and frozen._fenced[name] != agent.orders.boot
         assert agent.orders.fence == 0 or agent.orders.fence >= fence
         assert count_orders_of(fleet, frozen) == before
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_an_agent_that_is_started_again_is_not_loaded_again(run_placed):
+def test_an_agent_that_is_started_again_is_not_loaded_again(run_placed_fleet):
     """An agent is replaced while its engine goes on. To load its models elsewhere,
     or again, would take the store's rate from what users wait for."""
 
@@ -230,10 +227,10 @@
         await fleet.wait_for(lambda: agent.orders.fence > 0)
         assert fleet.count_orders() == {("load", NEW): 1}
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_lost_order_answer_is_repeated_under_the_same_number(run_placed):
+def test_a_lost_order_answer_is_repeated_under_the_same_number(run_placed_fleet):
     """An engine loads a model and its answer is lost. The order is repeated with the
     same number, and the operator sees one replica, not two."""
 
@@ -247,10 +244,10 @@
         assert len({order["fence"] for order in fleet.list_orders()}) == 1
         assert fleet.store.transfers == 1
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_weight_store_that_is_down_takes_nothing_away(run_placed):
+def test_a_weight_store_that_is_down_takes_nothing_away(run_placed_fleet):
     """The weight store is down when the operator asks for another model. What is
     loaded stays, and the model comes once the store is back."""
 
@@ -267,10 +264,10 @@
         fleet.store.board.place(faults.Order("clear"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_model_is_never_without_a_replica_while_others_come(run_placed):
+def test_a_model_is_never_without_a_replica_while_others_come(run_placed_fleet):
     """Engines hold one model each and the operator asks for a second one. Requests
     for the first are sent all the time; none may find it gone."""
 
@@ -291,10 +288,10 @@
         assert fleet.count_ready(embedded.MODEL) >= 1
         assert set(statuses) == {200}
 
-    run_placed(check, max_models=1, engines=3)
+    run_placed_fleet(check, max_models=1, engines=3)
 
 
-def test_loads_are_paced_by_the_configuration(run_placed):
+def test_loads_are_paced_by_the_configuration(run_placed_fleet):
     """Every engine is to load a model at once. If all transfers ran together, the
     weight store would serve each so slowly that no user got the model for long."""
 
@@ -313,10 +310,10 @@
         assert 1 <= peak <= 2
         assert fleet.store.transfers == 5
 
-    run_placed(check, engines=5)
+    run_placed_fleet(check, engines=5)
 
 
-def test_a_log_outage_stops_no_order_under_way(run_placed):
+def test_a_log_outage_stops_no_order_under_way(run_placed_fleet):
     """The log is down when the decider needs it not. A load that was decided on must
     still end, and no other entry may think itself the decider."""
 
@@ -329,10 +326,10 @@
         assert len(owners) == 1
         fleet.log.board.place(faults.Order("clear"))
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_new_decider_moves_nothing_that_is_in_place(run_placed):
+def test_a_new_controller_moves_nothing_that_is_in_place(run_placed_fleet):
     """The entry that decides is lost with nothing to do. The next one hears of the
     engines one by one; if it took the first ones for all, it would load again what
     the others hold, and take room from what users need."""
@@ -341,33 +338,31 @@
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
-        await fleet.crash(fleet.find_decider())
-        await fleet.wait_for(fleet.find_decider)
-        placement_controller = fleet.entries[fleet.find_decider()].placement_controller
+        await fleet.crash(fleet.find_controller())
+        await fleet.wait_for(fleet.find_controller)
+        controller = fleet.entries[fleet.find_controller()].placement_controller
         await fleet.wait_for(
             lambda: all(
                 map(
-                    placement_controller._is_reliable,
-                    placement_controller._list_peers(),
+                    controller._is_reliable,
+                    controller._list_peers(),
                 )
             )
         )
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
         # The engine that holds the model is heard of last.
-        peers = placement_controller._list_peers()
+        peers = controller._list_peers()
         holder = next(peer for peer in peers if NEW in peer.report["models"])
         holder.report = {**holder.report, "fence": 0}
-        engines = placement_controller._list_engines(peers)
-        wanted = placement_controller._list_wanted(
-            placement_controller._get_fleet(), peers
-        )
-        assert plan.make_plan(wanted, engines, 2) == []
+        engines = controller._list_engines(peers)
+        desired = controller._list_desired_models(controller._get_fleet(), peers)
+        assert plan.make_plan(desired, engines, 2) == []
 
-    run_placed(check, engines=5)
+    run_placed_fleet(check, engines=5)
 
 
-def test_a_report_from_before_the_number_was_known_is_not_relied_on(run_placed):
+def test_a_report_from_before_the_number_was_known_is_not_relied_on(run_placed_fleet):
     """An agent answers a heartbeat, then carries out an order of the old decider, and
     then hears of the new one. That answer must not count as a replica: the other one
     would go, and users would find none."""
@@ -375,19 +370,19 @@
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
-        placement_controller = fleet.entries[fleet.find_decider()].placement_controller
+        controller = fleet.entries[fleet.find_controller()].placement_controller
         await fleet.wait_for(
             lambda: all(
                 map(
-                    placement_controller._is_reliable,
-                    placement_controller._list_peers(),
+                    controller._is_reliable,
+                    controller._list_peers(),
                 )
             )
         )
-        peer = placement_controller._list_peers()[0]
-        peer.report = {**peer.report, "fence": placement_controller._fence - 1}
-        assert not placement_controller._is_reliable(peer)
-        engines = placement_controller._list_engines([peer])
+        peer = controller._list_peers()[0]
+        peer.report = {**peer.report, "fence": controller._fence - 1}
+        assert not controller._is_reliable(peer)
+        engines = controller._list_engines([peer])
         assert all(not engine.models and engine.busy for engine in engines)
 
-    run_placed(check)
+    run_placed_fleet(check)
--- a/pimentowick/replication/checkpoint.py
+++ b/pimentowick/replication/checkpoint.py
@@ -19,7 +19,7 @@
 CHECKPOINT = "checkpoint"
 # Room in a record for what stands beside the data.
 RECORD_MARGIN_BYTES = 512
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
         Checkpoint(covers=9, at=5.0, parts=[{'version': 7}])
     """
     # The codec that takes any text and number that a record may have brought.
-    packed = zlib.compress(json.dumps(parts).encode(), COMPRESSION)
+    packed = zlib.compress(json.dumps(parts).encode(), COMPRESSION_LEVEL)
     text = base64.b64encode(packed).decode()
     size = record_bytes - RECORD_MARGIN_BYTES
     slices = [text[start : start + size] for start in range(0, len(text), size)]
@@ -92,14 +92,14 @@
             slices = self._partial.setdefault(name, {})
             slices[index] = record["data"]
             if len(slices) != record["parts"]:
-                self._forget_oldest()
+                self._drop_oldest_partial()
                 return None
             del self._partial[name]
             return _unpack(record, "".join(slices[i] for i in range(len(slices))))
         except (KeyError, TypeError, ValueError, OverflowError, zlib.error):
             return None
 
-    def _forget_oldest(self):
+    def _drop_oldest_partial(self):
         if len(self._partial) > self.MAX_PARTIAL:
             self._partial.pop(next(iter(self._partial)))
 
--- a/pimentowick/replication/checkpoint_writer.py
+++ b/pimentowick/replication/checkpoint_writer.py
@@ -22,19 +22,19 @@
     "get_checkpoint_interval",
 ]
 
-PERIODS_PER_RETENTION = 4
+CHECKPOINTS_PER_RETENTION = 4
 # A stream without any checkpoint may be nearly as old as the retention time.
-FIRST_SHARE = 1 / 16
-RANK_SHARE = 1 / 4
-PAUSE_SHARE = 1 / 8
-TICK_SHARE = 1 / 40
-MAX_TICK_S = 30.0
-FRESH_S = 5.0
+FIRST_CHECKPOINT_FRACTION = 1 / 16
+RANK_DELAY_FRACTION = 1 / 4
+RETRY_FRACTION = 1 / 8
+CHECK_FRACTION = 1 / 40
+MAX_CHECK_INTERVAL_S = 30.0
+MAX_REPLICA_LAG_S = 5.0
 # Claims, results and changes go before: a refused append waits, and each append is
 # followed by a pause, so that one entry makes at most 20 of them a second.
-PACE_S = 0.05
-RETRY_S = 1.0
-TRIES = 10
+APPEND_PAUSE_S = 0.05
+RETRY_DELAY_S = 1.0
+MAX_ATTEMPTS = 10
 RECORDS_PER_APPEND = 4
 
 
@@ -45,12 +45,12 @@
     Attributes:
         replica: `pimentowick.replication.replica.Replica` of the stream.
         rank: Place of this entry among those that follow the stream, from 0.
-        carry: Coroutine function to call before the checkpoint, or None.
+        before_checkpoint: Coroutine function to call before the checkpoint, or None.
     """
 
     replica: object
     rank: int
-    carry: object = None
+    before_checkpoint: object = None
 
 
 def get_checkpoint_interval(settings):
@@ -59,7 +59,7 @@
     Args:
         settings: `pimentowick.settings.EntrySettings`.
     """
-    return settings.platform.log_retention_s / PERIODS_PER_RETENTION
+    return settings.platform.log_retention_s / CHECKPOINTS_PER_RETENTION
 
 
 class CheckpointWriter:
@@ -73,62 +73,62 @@
 
     def __init__(self, settings, list_checkpointed_streams, metrics):
         self._settings = settings
-        self._list_kept = list_checkpointed_streams
+        self._list_streams = list_checkpointed_streams
         self._metrics = metrics
-        self._period = get_checkpoint_interval(settings)
+        self._interval = get_checkpoint_interval(settings)
         self._tried_at = {}
         self._supervisor = supervisor.Supervisor("keeper")
 
     async def start(self):
         """Begin to watch the ages of the checkpoints."""
         await self._supervisor.start()
-        self._supervisor.start_child("keep", self._keep_always)
+        self._supervisor.start_child("keep", self._check_loop)
 
     async def close(self):
         """Stop; others write what falls due."""
         await self._supervisor.close()
 
-    async def _keep_always(self):
-        tick = min(self._period * TICK_SHARE, MAX_TICK_S)
+    async def _check_loop(self):
+        check_interval = min(self._interval * CHECK_FRACTION, MAX_CHECK_INTERVAL_S)
         while True:
-            for kept in self._list_kept():
-                if self._is_due(kept):
-                    await self._keep(kept)
-            await asyncio.sleep(tick)
+            for checkpointed in self._list_streams():
+                if self._is_due(checkpointed):
+                    await self._write_checkpoint(checkpointed)
+            await asyncio.sleep(check_interval)
 
-    def _is_due(self, kept):
-        replica = kept.replica
+    def _is_due(self, checkpointed):
+        replica = checkpointed.replica
         now = time.monotonic()
         if not replica.ready or replica.caught_up_at is None or not replica.offset:
             return False
-        if now - replica.caught_up_at > FRESH_S:
+        if now - replica.caught_up_at > MAX_REPLICA_LAG_S:
             return False
         # Where the clocks of two entries differ by days, each would find the
         # checkpoints of the other one too old at every turn.
         tried_at = self._tried_at.get(replica.stream, -math.inf)
-        if now - tried_at < self._period * PAUSE_SHARE:
+        if now - tried_at < self._interval * RETRY_FRACTION:
             return False
         age = replica.get_checkpoint_age()
-        limit = self._period
+        limit = self._interval
         if age == math.inf:
             age = now - replica.started_at
-            limit = self._period * FIRST_SHARE
-        return age >= limit * (1 + kept.rank * RANK_SHARE)
+            limit = self._interval * FIRST_CHECKPOINT_FRACTION
+        return age >= limit * (1 + checkpointed.rank * RANK_DELAY_FRACTION)
 
-    async def _keep(self, kept):
-        replica = kept.replica
+    async def _write_checkpoint(self, checkpointed):
+        replica = checkpointed.replica
         self._tried_at[replica.stream] = time.monotonic()
         try:
-            if kept.carry is not None:
-                await kept.carry()
-            await self._write(replica)
+            if checkpointed.before_checkpoint is not None:
+                await checkpointed.before_checkpoint()
+            await self._append_checkpoint(replica)
         except exception.LogError as error:
             # A part of a checkpoint has no effect; the next turn writes a whole one.
             logger.warning("keeper: No checkpoint of {}. {}", replica.stream, error)
             return
         self._metrics.count_checkpoint()
 
-    async def _write(self, replica):
+    async def _append_checkpoint(self, replica):
         record_bytes = self._settings.platform.log_record_bytes
         records = await replica.make_checkpoint(record_bytes)
         covers = records[0]["covers"]
@@ -142,14 +142,14 @@
     """Append records that may come late, and may come twice.
 
     Raises:
-        LogError: The log refused or did not answer `TRIES` times.
+        LogError: The log refused or did not answer `MAX_ATTEMPTS` times.
     """
-    for attempt in range(1, TRIES + 1):
+    for attempt in range(1, MAX_ATTEMPTS + 1):
         try:
             await replica.log.append(replica.stream, records)
             break
         except exception.LogError:
-            if attempt == TRIES:
+            if attempt == MAX_ATTEMPTS:
                 raise
-            await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.0))
-    await asyncio.sleep(PACE_S)
+            await asyncio.sleep(RETRY_DELAY_S * random.uniform(0.5, 1.0))
+    await asyncio.sleep(APPEND_PAUSE_S)
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -19,7 +19,7 @@
 __all__ = ["Replica"]
 
 READ_WAIT_S = 1.0
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 CONFIRM_READ_WAIT_S = 0.5
 
 
@@ -58,9 +58,9 @@
         self._checkpoint_read_at = None
         self.applied = asyncio.Condition()
         self._get_wait = get_wait or (lambda: READ_WAIT_S)
-        self._scan = 0
-        self._collector = checkpoint.CheckpointAssembler()
-        self._reading = asyncio.Lock()
+        self._scan_offset = 0
+        self._assembler = checkpoint.CheckpointAssembler()
+        self._read_lock = asyncio.Lock()
         self._supervisor = supervisor.Supervisor(f"replica {stream}")
 
     async def start(self):
@@ -82,7 +82,7 @@
                 if not failing:
                     logger.warning("replica {}: {}", self.stream, error)
                 failing = True
-                await asyncio.sleep(RETRY_S * random.uniform(1.0, 2.0))
+                await asyncio.sleep(RETRY_DELAY_S * random.uniform(1.0, 2.0))
 
     async def read_once(self, wait_s=0.0):
         """Read one page and apply it.
@@ -93,9 +93,9 @@
         Raises:
             LogUnavailableError: The log gave no answer; nothing was applied.
         """
-        async with self._reading:
+        async with self._read_lock:
             began = time.monotonic()
-            position = self._scan if self.recovering else self.offset
+            position = self._scan_offset if self.recovering else self.offset
             page = await self.log.read(self.stream, position, wait_s=wait_s)
             self.first = page.first
             if not self.recovering and page.first > self.offset:
@@ -116,21 +116,21 @@
             # A gap would leave out a record; a repeat would apply one twice.
             if offset != self.offset:
                 break
-            self._apply(offset, record)
+            self._apply_record(offset, record)
             self.offset = offset + 1
         return self.offset >= page.head
 
-    def _apply(self, offset, record):
+    def _apply_record(self, offset, record):
         if not isinstance(record, dict):
             record = {"id": "", "type": "malformed"}
         if record.get("type") != checkpoint.CHECKPOINT:
             self.state_machine.apply(offset, record)
             return
-        whole = self._collector.add(record)
+        whole = self._assembler.add(record)
         if whole is not None:
-            self._note_checkpoint(whole)
+            self._record_checkpoint(whole)
 
-    def _note_checkpoint(self, found):
+    def _record_checkpoint(self, found):
         if found.covers >= self.checkpoint_covers:
             self.checkpoint_covers = found.covers
             self._checkpoint_at = found.at
@@ -159,26 +159,26 @@
         )
         self.recovering = True
         self.ready = False
-        self._scan = first
-        self._collector = checkpoint.CheckpointAssembler()
+        self._scan_offset = first
+        self._assembler = checkpoint.CheckpointAssembler()
 
     def _scan_page(self, page):
         for offset, record in page.records:
-            self._scan = offset + 1
+            self._scan_offset = offset + 1
             if not isinstance(record, dict):
                 continue
             if record.get("type") != checkpoint.CHECKPOINT:
                 continue
-            whole = self._collector.add(record)
-            if whole is not None and self._adopt(whole, page.first):
+            whole = self._assembler.add(record)
+            if whole is not None and self._install_checkpoint(whole, page.first):
                 break
         return False
 
-    def _adopt(self, found, first):
+    def _install_checkpoint(self, found, first):
         # One that covers less than the oldest kept record would leave a gap again.
         if found.covers < first or not self.install_state(found.covers, found.parts):
             return False
-        self._note_checkpoint(found)
+        self._record_checkpoint(found)
         return True
 
     def install_state(self, covers, parts):
@@ -200,7 +200,7 @@
             return False
         self.offset = covers
         self.recovering = False
-        self._collector = checkpoint.CheckpointAssembler()
+        self._assembler = checkpoint.CheckpointAssembler()
         logger.info("replica {}: loaded a state at {}.", self.stream, covers)
         return True
 
@@ -214,7 +214,7 @@
         # The follower may hold a long read that began before this call and says
         # nothing about it until it ends; the head is asked for beside it.
         head = await self._read_head(deadline)
-        left = max(deadline - time.monotonic(), RETRY_S)
+        left = max(deadline - time.monotonic(), RETRY_DELAY_S)
         await self.wait_for(lambda: self.offset >= head, left)
 
     async def _read_head(self, deadline):
@@ -224,7 +224,7 @@
             except exception.LogUnavailableError:
                 if time.monotonic() >= deadline:
                     raise
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             return page.head
 
@@ -247,12 +247,12 @@
             except TimeoutError:
                 continue
             except exception.LogUnavailableError:
-                await asyncio.sleep(min(RETRY_S, max(left, 0)))
+                await asyncio.sleep(min(RETRY_DELAY_S, max(left, 0)))
 
     async def _read_some(self):
         # While the following task holds a long read, its next result is what we
         # wait for; a second read would only cost the log another request.
-        if self._reading.locked():
+        if self._read_lock.locked():
             async with self.applied:
                 await self.applied.wait()
             return
@@ -275,12 +275,12 @@
         # time that the loss is noticed; the search begins before them.
         position = self.offset
         first = await self._try_append(records, timeout_s)
-        left = max(deadline - time.monotonic(), RETRY_S)
+        left = max(deadline - time.monotonic(), RETRY_DELAY_S)
         if first is not None:
             last = first + len(records) - 1
             await self._wait_until_applied(last, left)
             return first
-        last = await self._find(records[-1]["id"], position, left)
+        last = await self._find_record(records[-1]["id"], position, left)
         return last - len(records) + 1
 
     async def _wait_until_applied(self, offset, timeout_s):
@@ -297,7 +297,7 @@
         except exception.LogUnavailableError:
             return None
 
-    async def _find(self, record_id, position, timeout_s):
+    async def _find_record(self, record_id, position, timeout_s):
         # The append that got no answer may still land; where it has landed
         # already, a few reads of the head show it.
         deadline = time.monotonic() + timeout_s
@@ -307,12 +307,12 @@
                     self.stream, position, wait_s=CONFIRM_READ_WAIT_S
                 )
             except exception.LogUnavailableError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             for offset, record in page.records:
                 position = offset + 1
                 if isinstance(record, dict) and record.get("id") == record_id:
-                    left = max(deadline - time.monotonic(), RETRY_S)
+                    left = max(deadline - time.monotonic(), RETRY_DELAY_S)
                     await self._wait_until_applied(offset, left)
                     return offset
         raise exception.LogUnavailableError(
--- a/pimentowick/replication/tests/memory.py
+++ b/pimentowick/replication/tests/memory.py
@@ -16,25 +16,25 @@
     """The stand-in log without a socket.
 
     Attributes:
-        kept: The `pimentowick.fakes.log.Log` that holds the streams.
+        stored: The `pimentowick.fakes.log.Log` that holds the streams.
         down: Whether nothing gets an answer.
         lose_answers: Number of appends that take effect without an answer.
-        late: Appends that got no answer and have not landed, while it is a list.
+        delayed: Appends that got no answer and have not landed, while it is a list.
     """
 
     def __init__(self, **settings):
-        self.kept = fake_log.Log(**settings)
+        self.stored = fake_log.Log(**settings)
         self.down = False
         self.lose_answers = 0
-        self.late = None
+        self.delayed = None
 
     async def append(self, stream, records):
         self._check()
-        if self.late is not None:
-            self.late.append((stream, records))
+        if self.delayed is not None:
+            self.delayed.append((stream, records))
             raise exception.LogUnavailableError("no answer")
         try:
-            first, _ = self.kept.append(stream, records)
+            first, _ = self.stored.append(stream, records)
         except fake_log.RateError as error:
             raise exception.LogFullError(str(error)) from error
         if self.lose_answers:
@@ -49,18 +49,18 @@
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
-        while self.kept.measure(stream)[1] <= offset and loop.time() < until:
+        while self.stored.measure(stream)[1] <= offset and loop.time() < until:
             await asyncio.sleep(POLL_S)
         self._check()
-        rows = self.kept.read(stream, offset, limit)
+        rows = self.stored.read(stream, offset, limit)
         records = [(at, json.loads(text)) for at, text in rows]
-        return external_log.Page(records, *self.kept.measure(stream))
+        return external_log.Page(records, *self.stored.measure(stream))
 
-    def land_late(self):
+    def land_delayed(self):
         """Let the held appends take effect."""
-        late, self.late = self.late, None
-        for stream, records in late:
-            self.kept.append(stream, records)
+        delayed, self.delayed = self.delayed, None
+        for stream, records in delayed:
+            self.stored.append(stream, records)
 
     def _check(self):
         if self.down:
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -48,12 +48,12 @@
 
 
 def fill(log, *names):
-    log.kept.append(STREAM, [{"id": name, "type": "x"} for name in names])
+    log.stored.append(STREAM, [{"id": name, "type": "x"} for name in names])
 
 
 async def write_checkpoint(log, copy):
     for record in await copy.make_checkpoint(4096):
-        log.kept.append(STREAM, [record])
+        log.stored.append(STREAM, [record])
 
 
 def test_lost_answer_of_an_append_is_settled():
@@ -90,16 +90,16 @@
 
     async def check(log, follow):
         copy = await follow()
-        log.late = []
+        log.delayed = []
         waiting = asyncio.create_task(copy.append([{"id": "a", "type": "x"}], 10))
-        await copy.wait_for(lambda: log.late, 5)
+        await copy.wait_for(lambda: log.delayed, 5)
         await copy.catch_up(5)
-        log.land_late()
+        log.land_delayed()
         assert await waiting == 0
-        log.late = []
+        log.delayed = []
         with pytest.raises(exception.LogUnavailableError):
             await copy.append([{"id": "b", "type": "x"}], 0.2)
-        log.land_late()
+        log.land_delayed()
         await copy.wait_for(lambda: copy.state_machine.ids == ["a", "b"], 5)
 
     run(check)
@@ -119,11 +119,11 @@
         old = await ahead.make_checkpoint(4096)
         behind = replica.Replica(log, STREAM, Trace())
         fill(log, "c", "d")
-        log.kept.append(STREAM, old)
+        log.stored.append(STREAM, old)
         await ahead.catch_up(5)
         await write_checkpoint(log, ahead)
         fill(log, "e")
-        log.kept.truncate(STREAM, 4)
+        log.stored.truncate(STREAM, 4)
         new = await follow()
         for copy in (behind, new):
             await copy.catch_up(5)
@@ -148,13 +148,13 @@
         old = await copy.make_checkpoint(4096)
         fill(log, "b", "c")
         await copy.catch_up(5)
-        log.kept.append(STREAM, old)
+        log.stored.append(STREAM, old)
         await copy.catch_up(5)
         assert copy.state_machine.ids == ["a", "b", "c"]
         assert not copy.install_state(1, [{"ids": ["a"]}])
         assert not copy.install_state(9, None)
         # A reader that lost records needs one that covers up to what is kept.
-        log.kept.truncate(STREAM, 3)
+        log.stored.truncate(STREAM, 3)
         new = replica.Replica(log, STREAM, Trace())
         await new.read_once()
         await new.read_once()
@@ -174,10 +174,10 @@
 
     async def check(log, follow):
         copy = await follow()
-        log.kept.append(STREAM, [None, [], "x", {"type": "checkpoint"}])
+        log.stored.append(STREAM, [None, [], "x", {"type": "checkpoint"}])
         part = checkpoint.make_checkpoint([{"ids": []}], 9, 1.0, 4096)[0]
         broken = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
-        log.kept.append(STREAM, [{**part, **fields} for fields in broken])
+        log.stored.append(STREAM, [{**part, **fields} for fields in broken])
         fill(log, "a")
         await copy.wait_for(lambda: copy.state_machine.ids[-1:] == ["a"], 5)
 
