--- a/pimentowick/batch/__init__.py
+++ b/pimentowick/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: records, ledger, ownership, dispatch."""
+"""Batch jobs: records, shard ledgers, ownership and dispatch."""
--- a/pimentowick/batch/audit.py
+++ b/pimentowick/batch/audit.py
@@ -1,9 +1,8 @@
-"""Notes on what happened to a shard, for the audit trail.
+"""Audit trail of a shard: its claims, releases and job cancellations.
 
-The records of a shard's stream are the trail: who claimed the shard, gave it up or
-cancelled a job stands there anyway. The ledger keeps a note of the newest of them,
-so that a question costs no reading of the stream, and a checkpoint carries the notes
-past the end of retention.
+The records of the shard's stream are the complete trail. The ledger keeps an event
+for each of the latest ones, so that queries need not read the stream, and checkpoints
+preserve the events beyond the log's retention.
 """
 
 import dataclasses
@@ -17,27 +16,27 @@
 ]
 
 MAX_AUDIT_EVENTS = 500
-"""Notes that one ledger keeps."""
+"""Number of events that one ledger keeps."""
 TEXT_LIMIT = 200
-"""Characters that a note keeps of a text, so that a dump stays bounded."""
+"""Characters of a text field that an event keeps, to bound the size of a dump."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditEvent:
-    """What became of one record.
+    """Outcome of one audited record.
 
     Attributes:
         offset: Offset of the record.
-        at: Time that it states, in epoch seconds; 0 if it states none.
-        by: Who made it.
-        client: Address that it was asked from; empty for the system's own.
+        at: Time stated by the record, in epoch seconds; 0 if it states none.
+        by: Name of the process or user that made the record.
+        client: Network address of the requester; empty if the system made the record.
         kind: ``claim``, ``release`` or ``cancel``.
         name: Id of the job, or empty.
         workspace: Workspace of the job, or empty.
-        version_before: Epoch before, for claims and releases.
-        version_after: Epoch after, for claims and releases.
+        version_before: Epoch before a claim or release.
+        version_after: Epoch after a claim or release.
         accepted: Whether the record took effect.
-        reason: Why not; empty if accepted.
+        reason: Why it did not take effect; empty if accepted.
         id: Id of the record.
     """
 
@@ -56,7 +55,7 @@
 
 
 def make_claim_event(offset, record, epoch, accepted):
-    """Return the note on a claim that was read while `epoch` was in force."""
+    """Return the event of a claim that was read while `epoch` was current."""
     reason = "" if accepted else f"conflict: epoch {epoch} is in force"
     return AuditEvent(
         offset=offset,
@@ -75,7 +74,7 @@
 
 
 def make_release_event(offset, owner, epoch):
-    """Return the note on a release that took effect."""
+    """Return the event of a release that took effect."""
     return AuditEvent(
         offset=offset,
         at=0.0,
@@ -93,7 +92,7 @@
 
 
 def make_cancellation_event(offset, record, job):
-    """Return the note on a cancellation of `job`, as it was before."""
+    """Return the event of a cancellation; `job` is the job before it is applied."""
     accepted = job.state == "open"
     return AuditEvent(
         offset=offset,
--- a/pimentowick/batch/call.py
+++ b/pimentowick/batch/call.py
@@ -1,9 +1,9 @@
-"""Calls that must not run twice, claimed in the log before they run.
+"""Idempotency-key calls: claims them in the log so that they run at most once.
 
-A caller that lost its answer asks again, perhaps through another entry, which knows
-nothing of the first one. The claim in the log is what both see: only the request
-whose claim is in force may go to a target, and a claim is given up only when it is
-proven that nothing ran.
+A caller that lost the answer may retry through another entry, which does not know of
+the first request. Both entries see the claim in the log. Only the request whose claim
+is in force may be sent to a target, and a claim is released only if nothing can have
+run.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class CallRegistry:
-    """Claims keyed calls and records how they ended.
+    """Claims calls with an idempotency key and records their outcomes.
 
     Args:
         settings: `pimentowick.settings.EntrySettings`.
@@ -42,37 +42,37 @@
         self._supervisor = supervisor.Supervisor("calls")
 
     async def start(self):
-        """Begin to record ends."""
+        """Start recording outcomes."""
         await self._supervisor.start()
-        self._supervisor.start_child("settle", self._append_loop)
-        self._supervisor.start_child("late", self._close_late_claims)
+        self._supervisor.start_child("append", self._append_loop)
+        self._supervisor.start_child("late claims", self._close_late_claims)
 
     async def close(self):
-        """Stop; ends that are not recorded stay unknown to whoever asks again."""
+        """Stop; for outcomes not yet recorded, retries are told they are unknown."""
         await self._supervisor.close()
 
     async def drain(self, timeout_s):
-        """Wait until all ends are recorded, at most `timeout_s` seconds."""
+        """Wait up to `timeout_s` seconds until all outcomes are recorded."""
         deadline = time.monotonic() + timeout_s
         while self._pending_outcomes and time.monotonic() < deadline:
             await asyncio.sleep(APPEND_RETRY_S / 10)
 
     async def claim(self, shard, call_id, request_id, digest, timeout_s):
-        """Claim a call for a request.
+        """Claim the right to run a call.
 
         Args:
             shard: `pimentowick.batch.shard.Shard` of the call.
             call_id: Id derived from workspace, service and key.
-            request_id: Id of the request that wants to run.
-            digest: Hash of the content.
-            timeout_s: Seconds that are left to the request.
+            request_id: Id of the request that claims the call.
+            digest: Hash of the request's content.
+            timeout_s: Remaining time of the request, in seconds.
 
         Returns:
-            None if the request may run; otherwise the answer of the one that ran.
+            None if the request may run; otherwise the stored answer of an earlier one.
 
         Raises:
-            RefusedError: The request must not run, or it is not known whether it
-                may; the refusal says what is known of the one before.
+            RefusedError: The request must not run, or whether it may is unknown; the
+                refusal states what is known of the earlier request.
         """
         known = shard.ledger.calls.get(call_id)
         if known is not None and known.verdict != "not_run":
@@ -81,14 +81,14 @@
             call_id, request_id, self._owner, digest, time.time()
         )
         try:
-            # A claim that is in force after the caller's deadline serves nobody.
+            # A claim that takes effect after the request's deadline is useless.
             bound = min(self._settings.append_s, timeout_s)
             await shard.replica.append([claim], bound)
         except exception.LogFullError as error:
             raise _make_unclaimed_error(str(error)) from error
         except exception.LogUnavailableError as error:
-            # The claim may be in the log, or come there later, and would then stand
-            # in the way of every later request under this key: give it up.
+            # The claim may be in the log or still reach it. It would then block all
+            # later requests with this key, so it is released.
             self._abandon_claim(shard, call_id, request_id)
             raise _make_unclaimed_error(str(error)) from error
         call = shard.ledger.calls[call_id]
@@ -103,10 +103,10 @@
         self._abandoned_claims[request_id] = (shard, call_id, time.monotonic())
 
     async def _close_late_claims(self):
-        """End claims again that came into the log after their end.
+        """Release abandoned claims that reached the log after their release.
 
-        An append whose answer was lost may land late; its end, which came first, was
-        void, and the key would answer "in progress" to everybody for good.
+        An append whose answer was lost may land late. Its release came first and had
+        no effect, so the key would be reported as in progress forever.
         """
         while True:
             await asyncio.sleep(LATE_CLAIM_CHECK_S)
@@ -121,13 +121,13 @@
                     del self._abandoned_claims[request_id]
 
     def record_outcome(self, shard, call_id, request_id, call_verdict, answer):
-        """Record how a claimed call ended, as soon as the log takes it.
+        """Queue the outcome of a claimed call for appending to the log.
 
         Args:
             shard: `pimentowick.batch.shard.Shard` of the call.
             call_id: Id of the call.
-            request_id: Request that held the claim.
-            call_verdict: `pimentowick.verdict.Verdict`.
+            request_id: Id of the request that held the claim.
+            call_verdict: `pimentowick.verdict.Verdict` of the call.
             answer: Dictionary with the answer, or None.
         """
         if answer is not None and len(answer["body"]) > MAX_STORED_ANSWER_BYTES:
@@ -153,7 +153,12 @@
         try:
             await shard.replica.log.append(shard.stream, [ended for _, ended in group])
         except exception.LogError as error:
-            logger.warning("calls: {} ends wait for the log. {}", len(group), error)
+            logger.warning(
+                "calls: {} outcomes not yet appended to {}: {}",
+                len(group),
+                shard.stream,
+                error,
+            )
             await asyncio.sleep(APPEND_RETRY_S)
             return
         for entry in group:
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -1,12 +1,13 @@
-"""Runs the items of the jobs that this entry owns.
+"""Dispatches the items of the jobs whose shards this entry owns.
 
-Items go to agents that reported room for them. Between workspaces the one that was
-served the fewest tokens for its weight comes first, counted at the agents over all
-entries; within a workspace the job with the earliest deadline.
+Items go to agents that report free capacity. Between workspaces, the one that was
+served the fewest tokens relative to its weight goes first, counted at the agents over
+all entries. Within a workspace, the job with the earliest deadline goes first.
 
-An item whose target died under it may be the cause. It is then run alone, and only
-what happens to it alone counts against it, so that it takes no neighbour down and a
-neighbour's fate is not held against it.
+An item that was running when its target failed may be the cause of the failure. It is
+retried alone on an engine, and only failures of such solo runs count as attempts. So
+it can't fail together with other items, and other items' failures don't count
+against it.
 """
 
 import asyncio
@@ -34,19 +35,20 @@
 
 @dataclasses.dataclass(slots=True)
 class _ActiveJob:
-    """One open job of an owned shard.
+    """Dispatch state of one open job in an owned shard.
 
     Attributes:
         shard: `pimentowick.batch.shard.Shard`.
-        epoch: Epoch under which this process owns it.
+        epoch: Epoch under which this process owns the shard.
         job: `pimentowick.batch.state.Job`.
         chunk_starts: Number of the first item of each chunk.
-        pending: Items that wait.
-        suspects: Items that wait to be run alone.
-        running: Tasks by item.
-        progress: `pimentowick.batch.item.Progress` by item, for those begun.
-        crashes: Attempts that ended with the target's death, by item.
-        cached_chunk: Number and items of the chunk that was read last.
+        pending: Queue of items to run.
+        suspects: Queue of items to run alone, because their target failed.
+        running: Task by item.
+        progress: `pimentowick.batch.item.Progress` by item, for started items.
+        crashes: Number of solo runs during which the target failed, by item.
+        cached_chunk: Number and items of the last chunk that was read.
+        read_lock: Lock that lets one task at a time read a chunk.
     """
 
     shard: object
@@ -62,7 +64,7 @@
     read_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     def get_sort_key(self):
-        """Return the key by which the jobs of a workspace are ordered."""
+        """Return the key that orders the jobs of a workspace."""
         deadline = math.inf if self.job.deadline is None else self.job.deadline
         return deadline, self.job.at
 
@@ -74,11 +76,11 @@
         table: `pimentowick.batch.shard.ShardTable`.
         fleet: `pimentowick.membership.fleet.Fleet`.
         client: `pimentowick.client.Client` for batch traffic.
-        control: Client for orders to agents.
+        control: `pimentowick.client.Client` for control requests to agents.
         writer: `pimentowick.batch.writer.ResultWriter`.
-        get_weight: Function from a workspace's name to its share.
+        get_weight: Function that returns the weight of a workspace by its name.
         settings: `pimentowick.settings.EntrySettings`.
-        owner: Name of this process as an owner.
+        owner: Name under which this process owns shards.
         metrics: `pimentowick.metrics.EntryMetrics`.
     """
 
@@ -110,21 +112,21 @@
         self._supervisor = supervisor.Supervisor("dispatch")
 
     async def start(self):
-        """Begin to dispatch."""
+        """Start the dispatch task."""
         await self._supervisor.start()
         self._supervisor.start_child("dispatch", self._dispatch)
 
     async def close(self):
-        """Cancel what runs."""
+        """Stop dispatching and cancel all running items."""
         await self._supervisor.close()
         for active_job in list(self._active_jobs.values()):
             await self._cancel_tasks(active_job)
 
     async def drain(self, timeout_s):
-        """Start no more items, and wait for those that run.
+        """Stop starting items, and wait for running items to finish.
 
         Args:
-            timeout_s: Longest wait, in seconds.
+            timeout_s: Maximum wait, in seconds.
         """
         self._paused = True
         deadline = time.monotonic() + timeout_s
@@ -135,8 +137,8 @@
     def is_caught_up(self):
         """Return whether the ledgers of all owned shards are up to date.
 
-        Only then may leases be renewed: a process that can't read the log would not
-        see that a job was cancelled or that another one took over.
+        Leases may be renewed only while this holds. A process that can't read the log
+        would miss that a job was cancelled or that another process owns the shard.
         """
         now = time.monotonic()
         return all(
@@ -146,10 +148,10 @@
         )
 
     async def stop_job(self, job_id):
-        """Stop a job here and at the agents, and return once none of it runs.
+        """Cancel a job's items here and at all agents, and wait until none runs.
 
         Raises:
-            UnavailableError: An agent did not confirm it.
+            UnavailableError: An agent did not confirm the request.
         """
         active_job = self._active_jobs.pop(job_id, None)
         if active_job is not None:
@@ -173,8 +175,8 @@
             "/stop-job",
             {"job": job_id},
             timeout_s=STOP_TIMEOUT_S,
-            # On a pooled connection that is silent for good the order would be lost,
-            # and the user would wait until all leases have lapsed.
+            # A pooled connection may be half-open. The request would then be lost, and
+            # the caller would wait until all leases have expired.
             fresh=True,
         )
 
@@ -204,7 +206,7 @@
                 self._served.note_report(name, peer.report["batch_served"])
 
     async def _update_active_jobs(self):
-        """Take up the open jobs of owned shards, and drop all others."""
+        """Add the open jobs of owned shards, and remove all other jobs."""
         owned = {shard.number: shard for shard in self._table.list_owned()}
         for job_id, active_job in list(self._active_jobs.items()):
             shard = owned.get(active_job.shard.number)
@@ -213,11 +215,11 @@
             )
             if not current:
                 self._writer.drop(active_job.shard.number)
-            # A copy that loaded a checkpoint has new objects; the old one would
-            # stay open for ever, also after a cancellation.
+            # Loading a checkpoint creates new job objects. The old object would stay
+            # open forever, even after a cancellation.
             known = current and shard.ledger.jobs.get(job_id) is active_job.job
             if not known or active_job.job.state != "open":
-                # Whoever stops a job while this waits has taken its work away.
+                # `stop_job` may remove the job while this task awaits.
                 self._active_jobs.pop(job_id, None)
                 await self._cancel_tasks(active_job)
         for shard in owned.values():
@@ -229,7 +231,7 @@
         )
 
     def _start_next(self):
-        """Start one item, and return whether there was one to start."""
+        """Start one item, and return whether one was started."""
         if self._running >= self._settings.max_batch or self._writer.is_full:
             return False
         by_workspace = collections.defaultdict(list)
@@ -255,7 +257,7 @@
                     active_job, active_job.suspects.popleft(), idle[0], solo=True
                 )
                 return True
-            # An empty engine is looked for, however much room the others have.
+            # A solo run needs an idle engine, whatever capacity the others have.
             self._fleet.note_waiting(active_job.job.model, math.inf)
         with_capacity = [peer for peer in peers if peer.batch < peer.window]
         if not active_job.pending:
@@ -268,8 +270,8 @@
         return True
 
     def _is_usable(self, peer, shard):
-        # A lease that is younger than the last look into the log was granted to a
-        # process that may have slept: the log may hold a cancellation since.
+        # A lease granted after the last read of the log may belong to a process that
+        # was suspended: the log may hold a cancellation that it has not read.
         caught_up_at = shard.replica.caught_up_at
         return bool(peer.lease) and not peer.solo and caught_up_at > peer.lease_since
 
@@ -287,7 +289,7 @@
 
     def _on_task_done(self, active_job, item, peer, solo, cost, task):
         self._served.end(active_job.job.workspace, cost)
-        # The item may have been started again before this callback had its turn.
+        # The item may have been restarted before this callback ran.
         if active_job.running.get(item) is task:
             del active_job.running[item]
         peer.batch -= 1
@@ -304,8 +306,8 @@
             return
         except exception.LogError as error:
             logger.warning("dispatch: {} item {}: {}", active_job.job.id, item, error)
-            # Started again at once, it would ask a log that is down without a
-            # pause, as often as the loop turns.
+            # Without a delay, each dispatch round would send another read to a log
+            # that is down.
             await asyncio.sleep(READ_RETRY_DELAY_S)
             active_job.pending.append(item)
             return
@@ -374,8 +376,13 @@
         self._complete_item(active_job, item, "failed", failure)
 
     def _on_body_lost(self, active_job, item, error):
-        """End an item whose body the log has dropped; no attempt can run it."""
-        logger.error("dispatch: {} item {} is lost. {}", active_job.job.id, item, error)
+        """Fail an item whose body is no longer in the log."""
+        logger.error(
+            "dispatch: {} item {} failed: its body is lost. {}",
+            active_job.job.id,
+            item,
+            error,
+        )
         ran = item in active_job.progress or item in active_job.crashes
         refusal = verdict.Refusal(
             410,
@@ -387,15 +394,20 @@
         self._complete_item(active_job, item, "failed", {**failure, "item": item})
 
     async def _append_suspect(self, active_job, item, crashes):
-        """Keep the count of attempts for the next owner of the shard."""
+        """Append the count of failed solo runs for the next owner of the shard."""
         note = batch_record.make_suspect(
             active_job.epoch, active_job.job.id, item, crashes
         )
         try:
             await active_job.shard.replica.log.append(active_job.shard.stream, [note])
         except exception.LogError as error:
-            # The next owner would count from an older figure; still bounded.
-            logger.warning("dispatch: A suspect was not noted. {}", error)
+            # The next owner then starts from a lower count, which is still bounded.
+            logger.warning(
+                "dispatch: {} item {}: failed solo run not recorded: {}",
+                active_job.job.id,
+                item,
+                error,
+            )
 
     def _complete_item(self, active_job, item, status, body):
         active_job.progress.pop(item, None)
@@ -420,13 +432,19 @@
         page = await shard.read_record(offset)
         if page.records and page.records[0][0] == offset:
             return page.records[0][1]["items"]
-        # It may have been appended again further on. Only a copy that is up to date
-        # and still names a place that the log has dropped proves the loss.
+        # The chunk may have been relocated. It is lost only if an up-to-date replica
+        # still refers to an offset that the log has dropped.
         await shard.replica.catch_up(self._settings.append_s)
         offset = shard.ledger.find_chunk(active_job.job, number).offset
         if offset < shard.replica.first:
-            raise exception.LogTruncatedError(f"Chunk {number} is gone from the log.")
-        raise exception.LogUnavailableError(f"Chunk {number} has moved.")
+            raise exception.LogTruncatedError(
+                f"Chunk {number} of {active_job.job.id} at offset {offset} of"
+                f" {shard.stream} is no longer in the log."
+            )
+        raise exception.LogUnavailableError(
+            f"Chunk {number} of {active_job.job.id} has been relocated to offset"
+            f" {offset} of {shard.stream}."
+        )
 
 
 def _make_active_job(shard, job):
--- a/pimentowick/batch/intake.py
+++ b/pimentowick/batch/intake.py
@@ -1,4 +1,4 @@
-"""Taking a batch job in: checked whole, then written to the log, then read back."""
+"""Submission of a batch job: validates it, appends it to the log, and reads it back."""
 
 import asyncio
 import dataclasses
@@ -20,13 +20,13 @@
 ]
 
 MAX_ITEMS = 65_000
-# What is parsed or encoded in one turn of the loop, in lines and in bytes; more
-# would delay online requests.
+# Lines and bytes that are parsed or encoded before yielding to the event loop, to limit
+# the delay of online requests.
 MAX_LINES_PER_YIELD = 100
 MAX_BYTES_PER_YIELD = 262_144
 MAX_LINE_BYTES = 1_048_576
 RECORDS_PER_APPEND = 8
-# Room in a record for what stands beside the items.
+# Bytes reserved in a record for the fields besides the items.
 RECORD_MARGIN_BYTES = 2048
 
 
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """The checked items of a job.
+    """The validated items of a job.
 
     Attributes:
-        items: List of dictionaries as they stand in the log.
-        model: The model that all of them ask for.
+        items: List of item bodies as stored in the log.
+        model: Model of all items, or None if there are none.
         digest: Hash of the content.
     """
 
@@ -53,14 +53,14 @@
 
 
 async def parse_items(data, workspace):
-    """Return the `Submission` in a body of JSON lines.
+    """Parse and validate the items of a job from JSON lines.
 
     Args:
-        data: The body.
-        workspace: `pimentowick.configuration.workspace.Workspace` that submits.
+        data: Request body.
+        workspace: `pimentowick.configuration.workspace.Workspace` of the submitter.
 
     Raises:
-        RefusedError: A line is wrong; the message names it. Nothing is kept.
+        RefusedError: A line is invalid; the message names it.
     """
     items = []
     seen_ids = set()
@@ -90,7 +90,7 @@
 
 
 def _split_lines(data):
-    """Yield the lines of `data` one by one, so that no turn copies all of them."""
+    """Yield the lines of `data` one by one, to avoid copying all of them at once."""
     start = 0
     while start <= len(data):
         stop = data.find(b"\n", start)
@@ -100,7 +100,7 @@
 
 
 class _LoopYielder:
-    """Lets the loop go on to other tasks after a certain amount of work."""
+    """Yields to the event loop after a bounded amount of work."""
 
     def __init__(self):
         self._lines = 0
@@ -134,7 +134,7 @@
     """Return the chunk records that hold `items`.
 
     Raises:
-        RefusedError: One item is too large for a record of the log.
+        RefusedError: An item is too large for a record of the log.
     """
     limit = record_bytes - RECORD_MARGIN_BYTES
     chunks = [[]]
@@ -162,17 +162,17 @@
 
 
 async def append_submission(shard, job_id, submission, settings, **fields):
-    """Write a job to its shard's stream and return once it is read back.
+    """Append a job to its shard's stream and wait until this replica has applied it.
 
     Args:
         shard: `pimentowick.batch.shard.Shard` of the job.
         job_id: Id of the job.
-        submission: `Submission`.
+        submission: `Submission` to append.
         settings: `pimentowick.settings.EntrySettings`.
         **fields: Workspace, key, deadline and time of the submission.
 
     Raises:
-        LogError: The job is not known to be in the log.
+        LogError: Not all records are known to be in the log.
     """
     submission_id = external_log.make_id()
     record_bytes = settings.platform.log_record_bytes
--- a/pimentowick/batch/item.py
+++ b/pimentowick/batch/item.py
@@ -1,4 +1,4 @@
-"""One attempt of a batch item at an agent, and what it means."""
+"""One attempt to run a batch item at an agent, and its outcome."""
 
 import dataclasses
 import enum
@@ -10,28 +10,28 @@
 
 BATCH = "batch"
 ITEM_DEADLINE_S = 3600.0
-# Answers that blame the item itself; it would get them from every target.
+# Statuses caused by the item itself; every target would answer the same.
 NON_RETRYABLE_STATUSES = frozenset([400, 404, 413, 422])
 
 
 class Outcome(enum.Enum):
-    """How an attempt of an item ended."""
+    """Outcome of an attempt to run an item."""
 
     DONE = "done"
-    """There is a result, a good one or a final failure."""
+    """The item has a final result, either success or failure."""
     NOT_RUN = "not_run"
-    """The target never saw it; it waits for another place."""
+    """The target did not run the item; it can be retried elsewhere."""
     TARGET_FAILED = "lost"
-    """The target or the connection died while it ran."""
+    """The target or the connection failed while the item was running."""
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What earlier attempts of an item left.
+    """State of an item that is preserved between its attempts.
 
     Attributes:
-        texts: Tokens that were produced; the next attempt goes on after them.
-        attempts: Attempts begun.
+        texts: Tokens generated so far; the next attempt resumes after them.
+        attempts: Number of attempts started.
     """
 
     texts: list = dataclasses.field(default_factory=list)
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """The end of an attempt.
+    """Result of an attempt.
 
     Attributes:
         outcome: `Outcome`.
-        status: ``succeeded`` or ``failed`` when done.
-        body: Result of the item when done.
-        refusal: Why there is none.
+        status: ``succeeded`` or ``failed`` if the outcome is `Outcome.DONE`.
+        body: Result of the item if the outcome is `Outcome.DONE`.
+        refusal: Reason for a failure, or None.
     """
 
     outcome: Outcome
@@ -59,15 +59,15 @@
     """Run one attempt of an item at `peer`.
 
     Args:
-        client: `pimentowick.client.Client` of batch traffic.
+        client: `pimentowick.client.Client` for batch traffic.
         peer: `pimentowick.membership.peer.Peer`.
         owner: Name under which this process holds its leases.
         job: `pimentowick.batch.state.Job`.
         item: Number of the item.
-        body: The item as it stands in the log.
-        progress: `Progress` of the item; tokens are added to it.
-        weight: Share of the workspace.
-        idle_s: Longest silence of the agent, in seconds.
+        body: Body of the item as stored in the log.
+        progress: `Progress` of the item, updated with generated tokens.
+        weight: Weight of the workspace.
+        idle_s: Maximum time between two frames from the agent, in seconds.
 
     Returns:
         The `Result`.
@@ -101,7 +101,7 @@
     except exception.RefusedError as error:
         return _classify_refusal(body, error.refusal)
     if end["finish_reason"] == "cancelled" or end["tokens"] != len(progress.texts):
-        # The engine ended it for a reason of its own; what came is not whole.
+        # The engine ended the stream early; the output received is incomplete.
         return Result(Outcome.NOT_RUN)
     return _make_success(request_id, body, progress, end)
 
@@ -128,7 +128,7 @@
 
 
 def make_failure(body, refusal):
-    """Return the result of an item that can't be done."""
+    """Return the result body of an item that failed."""
     return {
         "custom_id": body["custom_id"],
         "response": None,
--- a/pimentowick/batch/ledger.py
+++ b/pimentowick/batch/ledger.py
@@ -1,21 +1,21 @@
-"""The state of one shard, folded from its stream.
+"""Replicated state machine of one shard: ownership, jobs and idempotency-key calls.
 
-Whether a record takes effect depends on the records before it alone:
+Whether a record takes effect depends only on the records before it:
 
-- A claim is in force if its epoch is one above the epoch in force. Any later record
-  that carries another epoch than the one in force is void, so an owner that was
-  frozen while another one took over can waste work but can't change anything.
-- The first valid result of an item is the result. A result after the cancellation
-  of its job is void.
-- The first submission under a job's id is the job.
-- The first claim of a call is the right to run it, until it ends as not run.
+- A claim takes effect if its epoch is one above the current epoch. Records of any
+  other than the current epoch are void, so an owner that was suspended during a
+  takeover can waste work but can't change the state.
+- The first valid result of an item counts. A result after the cancellation of its job
+  is void.
+- The first submission under a job's id creates the job.
+- The first claim of a call holds the right to run it, until the call ends as not run.
 
-Bodies stay in the log: the ledger keeps the offsets of the records that hold items
-and results. A record that is appended again under its id, to carry it over the end
-of retention, only moves that offset, whatever epoch it carries.
+Bodies stay in the log: the ledger stores the offsets of the records that hold items
+and results. A record that is relocated, that is, appended again under the same id to
+outlive the log's retention, only updates this offset, whatever its epoch.
 
-A record is checked whole before any of it is applied: one that broke off half-way
-would leave items that count as complete without a result to read.
+A record is validated completely before any of it is applied. A partially applied one
+would leave items complete without a readable result.
 """
 
 import collections
@@ -38,15 +38,15 @@
 
 
 class Ledger(state_machine.StateMachine):
-    """Jobs, calls and ownership of one shard.
+    """Ownership, jobs and calls of one shard.
 
     Attributes:
-        epoch: Epoch in force; 0 while nobody ever owned the shard.
-        owner: Name of the owning entry, or None.
+        epoch: Current epoch; 0 if the shard was never owned.
+        owner: Name of the owning process, or None.
         jobs: `pimentowick.batch.state.Job` by id.
         calls: `pimentowick.batch.state.Call` by id.
-        owner_offset: Offset of the last record that shows the owner alive.
-        fenced: Records read whose epoch was over; no part of the state.
+        owner_offset: Offset of the last record that proves the owner alive.
+        fenced: Number of records read with a stale epoch; not part of the state.
         audit_events: `pimentowick.batch.audit.AuditEvent` objects of the latest claims,
             releases and cancellations, oldest first.
 
@@ -70,14 +70,14 @@
         self.jobs = {}
         self.calls = {}
         self._ended_calls = 0
-        # Chunks by submission and index; offsets of results by record, and how many
-        # items have their result there.
+        # Chunks by submission and index; offsets of result records by record id; and
+        # the number of items whose result is in a record, by record id.
         self.chunks = {}
         self.results = {}
         self._result_item_counts = {}
         self._job_submissions = set()
 
-    # The handlers, by type of record.
+    # Handlers by record type.
 
     def apply(self, offset, record):
         """Apply one record; see `StateMachine.apply`."""
@@ -86,8 +86,8 @@
             if handle is not None:
                 handle(self, offset, record)
         except (LookupError, TypeError, ValueError, AttributeError, OverflowError):
-            # Anything may be on the stream; what does not have the form of a
-            # record has no effect on any reader.
+            # The stream may contain anything. A malformed record has no effect, on
+            # any replica alike.
             return
 
     def _apply_claim(self, offset, record):
@@ -131,8 +131,8 @@
         )
         known = self.chunks.get(submission, {})
         if index in known:
-            # Appended again it has the same id. Another one would put other items
-            # in the place of those that were accepted.
+            # A relocated chunk has the same id. A chunk with another id would replace
+            # items that were already accepted.
             if known[index].id == chunk.id and known[index].size == chunk.size:
                 known[index] = chunk
             return
@@ -219,7 +219,7 @@
 
     def _apply_expired(self, offset, record):
         job = self.jobs[record["job"]]
-        # A copy that lands late must not drop a later job of the same key.
+        # A delayed duplicate must not drop a later job with the same key.
         if job.state == state.OPEN or job.submission != record["submission"]:
             return
         del self.jobs[job.id]
@@ -260,19 +260,19 @@
         if call.request != record["request"] or call.verdict is not None:
             return
         if not isinstance(ended, str):
-            raise TypeError("verdict is no text")
+            raise TypeError("verdict is not a string")
         call.verdict = ended
         call.answer = answer
-        # Moved to the back, so that the ended ones stand in the order of their ends:
-        # a long call would be the first to be dropped at its very end otherwise.
+        # Calls are ordered by their end. Otherwise a long call would be the first to be
+        # dropped as soon as it ends.
         self.calls[call.id] = self.calls.pop(call.id)
         self._ended_calls += 1
         if self._ended_calls > MAX_ENDED_CALLS:
             self._remove_call(self._find_oldest_ended_call())
 
     def _find_oldest_ended_call(self):
-        # Those that run are passed over: dropped, they could run a second time. One
-        # that never ends must not keep all that come after it either.
+        # Running calls are skipped: a dropped one could run a second time. A call that
+        # never ends must not keep later ones from being dropped either.
         return next(call.id for call in self.calls.values() if call.verdict is not None)
 
     _HANDLERS = {
@@ -289,14 +289,14 @@
         batch_record.CALL_ENDED: _apply_call_ended,
     }
 
-    # Questions that owners and callers ask.
+    # Queries.
 
     def list_open_jobs(self):
         """Return the open jobs."""
         return [job for job in self.jobs.values() if job.state == state.OPEN]
 
     def find_chunk(self, job, index):
-        """Return the `pimentowick.batch.state.Chunk` of a job with a number."""
+        """Return a `pimentowick.batch.state.Chunk` of a job by its index."""
         return self.chunks[job.submission][index]
 
     def count_chunks(self, job):
@@ -306,7 +306,7 @@
     def list_needed_offsets(self):
         """Return the sorted offsets of the records whose bodies are still needed.
 
-        These are the results of all jobs, and the items of the open ones.
+        These are the results of all jobs and the items of open jobs.
         """
         offsets = set(self.results.values())
         for job in self.list_open_jobs():
@@ -315,7 +315,7 @@
             )
         return sorted(offsets)
 
-    # Carrying the state forward.
+    # Dumping and loading the state.
 
     def dump(self):
         """Return the state in parts; see `StateMachine.dump`."""
@@ -381,17 +381,19 @@
         }
 
     def load(self, parts):
-        """Replace the state by a dumped one; see `Ledger.dump`.
+        """Replace the state by a dump; see `Ledger.dump`.
 
         Raises:
-            ValidationError: If `parts` is not a whole dump; the state then stays.
+            ValidationError: `parts` is malformed; the state is unchanged.
         """
         loaded = Ledger()
         try:
             for part in parts:
                 loaded._load_part(part)
         except (AttributeError, LookupError, TypeError, ValueError) as error:
-            raise exception.ValidationError(f"dump: {error!r}") from error
+            raise exception.ValidationError(
+                f"malformed ledger dump: {error!r}"
+            ) from error
         for job in loaded.jobs.values():
             job.pending = job.outcomes.count(state.PENDING)
         loaded._ended_calls = sum(
@@ -450,14 +452,14 @@
 def _get_field(record, name, kind):
     value = record[name]
     if type(value) is not kind:
-        raise TypeError(f"{name} is no {kind.__name__}")
+        raise TypeError(f"{name} is not of type {kind.__name__}")
     return value
 
 
 def _get_time(record, default):
     value = record.get("at", default)
     if type(value) not in (int, float) or not math.isfinite(value):
-        raise TypeError("at is no time")
+        raise TypeError("at is not a finite number")
     return value
 
 
@@ -465,10 +467,10 @@
     items = _get_field(record, "items", int)
     deadline = record.get("deadline")
     if deadline is not None and type(deadline) not in (int, float):
-        raise TypeError("deadline is no time")
+        raise TypeError("deadline is not a number")
     model = record.get("model")
     if model is not None and type(model) is not str:
-        raise TypeError("model is no text")
+        raise TypeError("model is not a string")
     return state.Job(
         id=_get_field(record, "job", str),
         submission=_get_field(record, "submission", str),
@@ -489,7 +491,7 @@
     rows = []
     for job_id, item, outcome, _ in _get_field(record, "results", list):
         if type(job_id) is not str or type(item) is not int:
-            raise TypeError("a result names no item")
+            raise TypeError("result has a malformed job id or item number")
         rows.append((job_id, item, state.OUTCOMES[outcome]))
     return rows
 
@@ -503,7 +505,7 @@
 
 
 def _make_ranges(items):
-    """Return sorted numbers as a list of ``[first, last]``.
+    """Return sorted numbers as a list of inclusive ranges ``[first, last]``.
 
     Examples:
         >>> _make_ranges([1, 2, 3, 7])
--- a/pimentowick/batch/ownership.py
+++ b/pimentowick/batch/ownership.py
@@ -1,10 +1,10 @@
-"""Who owns which shard.
+"""Shard ownership: claims, renewals, takeovers and releases.
 
-The log decides: a claim is in force or not, for every reader alike. The times here
-only decide when a claim is worth trying. An owner shows itself alive by its records;
-one that is silent while jobs are open is replaced. Silence is counted in the turns
-of an own loop, so that a process that was frozen doesn't take its own absence for
-that of the others.
+The log decides whether a claim is in force, alike for every reader. The timeouts here
+only decide when to try a claim. An owner proves that it is alive by its records, and
+is replaced if it writes none while jobs are open. Silence is measured in iterations
+of a local loop, so that a process that was suspended does not count its own pause as
+silence of the owner.
 """
 
 import asyncio
@@ -26,10 +26,12 @@
 REMOVED_HOST_DELAY_S = 1.0
 RENEWALS_PER_TAKEOVER = 3
 CLAIM_RETRY_S = 1.0
+# Rank of an entry that does not follow the shard, after all followers.
+NON_FOLLOWER_RANK = 9
 
 
 class _OwnerWatch:
-    """What one shard's owner was last seen to do."""
+    """Observed liveness of one shard's owner."""
 
     def __init__(self):
         self.owner_offset = None
@@ -39,13 +41,13 @@
 
 
 class Ownership:
-    """Claims shards, shows them owned, and gives them up.
+    """Claims shards, renews their ownership, and releases them.
 
     Args:
         table: `pimentowick.batch.shard.ShardTable`.
         fleet: `pimentowick.membership.fleet.Fleet`.
         settings: `pimentowick.settings.EntrySettings`.
-        owner: Name of this process as an owner, another one after each start.
+        owner: Name under which this process owns shards, unique to each start.
         metrics: `pimentowick.metrics.EntryMetrics`.
     """
 
@@ -59,32 +61,34 @@
         self._supervisor = supervisor.Supervisor("ownership")
 
     async def start(self):
-        """Begin to watch the owners."""
+        """Start watching the owners of followed shards."""
         await self._supervisor.start()
         self._supervisor.start_child("watch", self._update_tasks)
 
     async def close(self):
-        """Stop watching; what is owned stays owned until it is claimed."""
+        """Stop watching; owned shards stay owned until another entry claims them."""
         await self._supervisor.close()
 
     async def release_all(self):
-        """Give all shards up, so that others claim them at once."""
+        """Release all owned shards, so that other entries can claim them at once."""
         self._releasing = True
-        # A claim on its way would make this process an owner again once it is gone.
+        # A claim in flight could make this process an owner again after the release.
         await self._supervisor.close()
         for shard in self._table.list_owned():
             release = batch_record.make_release(shard.ledger.epoch)
             try:
                 await shard.replica.append([release], self._settings.append_s)
             except exception.LogError as error:
-                # Others then wait for the silence of this owner, as after a crash.
-                logger.warning("ownership: Shard {}: {}", shard.number, error)
+                # Other entries take over after the timeout, as after a crash.
+                logger.warning(
+                    "ownership: release of shard {} failed: {}", shard.number, error
+                )
 
     async def _update_tasks(self):
-        """Keep one task for each shard that is followed.
+        """Run one watch task for each followed shard.
 
-        A slow append for one shard would otherwise hold back the renewals of the
-        others, and other entries would take these from a living owner.
+        With a shared task, a slow append for one shard would delay the renewals of
+        the others, and other entries would take them over from a live owner.
         """
         watched = {}
         while True:
@@ -126,20 +130,24 @@
         elif self._is_reading(shard):
             watch.silent_s += elapsed
         if not shard.ledger.list_open_jobs():
-            # An owner without work has nothing to say.
+            # An owner without open jobs writes no records.
             watch.silent_s = 0.0
 
     def _is_reading(self, shard):
         age = time.monotonic() - shard.replica.caught_up_at
-        # A read that the log held open is as old as that when it ends. Without room
-        # for it a short takeover time would never be counted to its end.
+        # A read that the log holds open reports its state from when it began. Without
+        # this allowance, a short takeover time would never be reached.
         limit = self._settings.takeover_s / RENEWALS_PER_TAKEOVER
         return age < batch_shard.READ_WAIT_S + limit
 
     def _get_claim_delay(self, shard):
-        """Return how long the owner may be silent before this entry claims."""
+        """Return how long the owner may be silent before this entry claims, in s."""
         names = self._table.list_followers(shard.number)
-        rank = names.index(self._settings.name) if self._settings.name in names else 9
+        rank = (
+            names.index(self._settings.name)
+            if self._settings.name in names
+            else NON_FOLLOWER_RANK
+        )
         owner = shard.ledger.owner
         if owner is None:
             return rank * RANK_DELAY_S
@@ -161,10 +169,14 @@
         try:
             await shard.replica.append([claim], self._settings.append_s)
         except exception.LogError as error:
-            logger.warning("ownership: Shard {} not claimed. {}", shard.number, error)
+            logger.warning(
+                "ownership: claim of shard {} failed: {}", shard.number, error
+            )
             return
         if shard.ledger.owner == self._owner:
-            logger.info("ownership: Shard {} is ours, epoch {}.", shard.number, epoch)
+            logger.info(
+                "ownership: acquired shard {} with epoch {}", shard.number, epoch
+            )
             self._metrics.count_claim()
             self._fleet.changed.set()
 
@@ -182,11 +194,13 @@
         try:
             await shard.replica.log.append(shard.stream, [renew])
         except exception.LogError as error:
-            logger.warning("ownership: Shard {} not renewed. {}", shard.number, error)
+            logger.warning(
+                "ownership: renewal of shard {} failed: {}", shard.number, error
+            )
 
 
 def get_host_name(owner):
-    """Return the host of an owner.
+    """Return the name of the host that an owner's process runs on.
 
     Examples:
         >>> get_host_name("entry-1#a1b2")
--- a/pimentowick/batch/record.py
+++ b/pimentowick/batch/record.py
@@ -1,8 +1,8 @@
-"""The records of a shard's stream.
+"""Records of a shard's stream.
 
-Each function makes one record; `pimentowick.batch.ledger` says what it does. A
-shard's stream holds all that must be ordered together: who owns the shard, and the
-jobs and keyed calls that fall to it.
+Each function makes one record; `pimentowick.batch.ledger` defines their effect. A
+shard's stream holds all records that must be totally ordered: the ownership of the
+shard, and its jobs and idempotency-key calls.
 """
 
 import hashlib
@@ -54,8 +54,8 @@
 def make_job_id(workspace, key):
     """Return the id of the job that `workspace` submits under `key`.
 
-    Entries that receive the same submission twice derive the same id, so the first
-    record in the log wins for both without a message between them.
+    Entries that receive the same submission derive the same id, so the first record in
+    the log wins without any communication between them.
 
     Examples:
         >>> make_job_id("a", "k") == make_job_id("a", "k")
@@ -67,7 +67,7 @@
 
 
 def make_call_id(workspace, service, key):
-    """Return the id of a call to `service` under an idempotency key."""
+    """Return the id of a call to `service` with an idempotency key."""
     return "call_" + _digest("call", workspace, service, key)
 
 
@@ -75,7 +75,7 @@
     hashed = hashlib.sha256()
     for part in parts:
         data = part.encode()
-        # The length keeps ("ab", "c") and ("a", "bc") apart.
+        # The length prefix distinguishes ("ab", "c") from ("a", "bc").
         hashed.update(len(data).to_bytes(4, "big"))
         hashed.update(data)
     return hashed.hexdigest()[:ID_DIGITS]
@@ -86,34 +86,34 @@
 
 
 def make_claim(epoch, owner, at):
-    """Claim the shard: in force only if `epoch` is one above the one in force."""
+    """Claim the shard; takes effect only if `epoch` is one above the current one."""
     return _make(CLAIM, epoch=epoch, owner=owner, at=at)
 
 
 def make_release(epoch):
-    """Give the shard up, so that another entry claims it without waiting."""
+    """Release the shard, so that another entry can claim it at once."""
     return _make(RELEASE, epoch=epoch)
 
 
 def make_renew(epoch):
-    """Show that the owner of `epoch` lives."""
+    """Prove that the owner of `epoch` is alive."""
     return _make(RENEW, epoch=epoch)
 
 
 def make_chunk(submission, index, items):
-    """Hold some items of a submission; `items` is a list of request bodies."""
+    """Store some items of a submission; `items` is a list of request bodies."""
     return _make(CHUNK, submission=submission, index=index, items=items)
 
 
 def make_submitted(job, submission, workspace, key, digest, items, chunks, **fields):
-    """Submit a job whose chunks were appended before.
+    """Submit a job whose chunks were appended earlier.
 
     Args:
         job: Id of the job.
-        submission: Random id that its chunks carry.
+        submission: Random id of the submission, which its chunks carry.
         workspace: Name of the workspace.
         key: Idempotency key.
-        digest: Hash of the content, to tell a resend from another job.
+        digest: Hash of the content, to distinguish a retry from another job.
         items: Number of items.
         chunks: Number of chunks.
         **fields: ``model``, and ``deadline`` and ``at`` in epoch seconds.
@@ -136,42 +136,42 @@
 
     Args:
         job: Id of the job.
-        by: Who asks for it.
-        at: When, in epoch seconds.
-        client: Address that it was asked from.
+        by: Name of the user or process that cancels the job.
+        at: Time of the cancellation, in epoch seconds.
+        client: Network address of the requester.
     """
     return _make(CANCELLED, job=job, by=by, at=at, client=client)
 
 
 def make_results(epoch, results, at=0.0):
-    """Complete items.
+    """Store the results of items.
 
     Args:
-        epoch: Epoch of the owner that ran them.
+        epoch: Epoch of the owner that ran the items.
         results: List of ``[job, item, outcome, body]``; outcome is ``succeeded`` or
             ``failed``.
-        at: Epoch seconds, from which the time is counted that results are kept.
+        at: Time in epoch seconds, from which the results' retention time counts.
     """
     return _make(RESULTS, epoch=epoch, results=results, at=at)
 
 
 def make_suspect(epoch, job, item, attempts):
-    """Note that an item was in flight when its target died, `attempts` times."""
+    """Record that the target failed in `attempts` solo runs of an item."""
     return _make(SUSPECT, epoch=epoch, job=job, item=item, attempts=attempts)
 
 
 def make_expired(job, submission):
-    """Drop a finished job whose results are no longer owed."""
+    """Drop an ended job whose results have passed their retention time."""
     return _make(EXPIRED, job=job, submission=submission)
 
 
 def make_call_claimed(call, request, owner, digest, at):
-    """Claim the right to run a call that must not run twice."""
+    """Claim the right to run a call that must run at most once."""
     return _make(
         CALL_CLAIMED, call=call, request=request, owner=owner, digest=digest, at=at
     )
 
 
 def make_call_ended(call, request, verdict, answer):
-    """State how a claimed call ended; `not_run` gives the claim up."""
+    """Record the verdict of a claimed call; `not_run` releases the claim."""
     return _make(CALL_ENDED, call=call, request=request, verdict=verdict, answer=answer)
--- a/pimentowick/batch/relocation.py
+++ b/pimentowick/batch/relocation.py
@@ -1,9 +1,9 @@
-"""Carries shards over the end of the log's retention.
+"""Preserves the records that shards still need beyond the log's retention.
 
 A checkpoint holds the state of a shard, but the bodies of items and results stay in
-records of their own. Those that are still needed are appended again under their id,
-which only moves their place in every ledger. That needs no ownership: the copy is the
-same whoever appends it, and a second one is harmless.
+records of their own. Records that are still needed are appended again under the same
+id, which only changes their offset in every ledger. Any process may do so, owner or
+not: the copies are identical, and duplicates are harmless.
 """
 
 import time
@@ -16,13 +16,13 @@
 
 __all__ = ["RecordRelocator"]
 
-# With checkpoints in time, what the last one doesn't cover is younger than a period.
-# After a longer gap its age is unknown, and all that is needed is carried.
+# While checkpoints are on time, records after the last one are younger than an
+# interval. After a longer gap their age is unknown, and all needed ones are relocated.
 MAX_CHECKPOINT_AGE_INTERVALS = 1.5
 
 
 class RecordRelocator:
-    """Knows what this entry has to carry forward.
+    """Lists the streams that this entry checkpoints, and relocates their records.
 
     Args:
         table: `pimentowick.batch.shard.ShardTable`.
@@ -67,7 +67,7 @@
         return before_checkpoint
 
     async def _expire_jobs(self, shard):
-        """Drop the jobs whose results are no longer owed."""
+        """Expire the jobs whose results have passed their retention time."""
         before = time.time() - self._settings.result_keep_s
         expired = [
             batch_record.make_expired(job.id, job.submission)
@@ -77,7 +77,7 @@
         if expired:
             await checkpoint_writer.append_with_retry(shard.replica, expired)
             await shard.replica.catch_up(self._settings.append_s)
-            logger.info("carry: {} jobs of {} expired.", len(expired), shard.stream)
+            logger.info("relocation: {} jobs of {} expired", len(expired), shard.stream)
 
     async def _relocate_records(self, shard):
         replica = shard.replica
@@ -93,14 +93,18 @@
         for offset in offsets:
             page = await shard.read_record(offset)
             if not page.records or page.records[0][0] != offset:
-                logger.error("carry: Record {} of {} is gone.", offset, shard.stream)
+                logger.error(
+                    "relocation: record {} of {} is no longer in the log",
+                    offset,
+                    shard.stream,
+                )
                 continue
             group.append(page.records[0][1])
             if len(group) == checkpoint_writer.RECORDS_PER_APPEND:
                 await self._append_group(replica, group)
                 group = []
         await self._append_group(replica, group)
-        # The checkpoint that follows names the new places.
+        # The next checkpoint then contains the new offsets.
         await replica.catch_up(self._settings.append_s)
 
     async def _append_group(self, replica, group):
--- a/pimentowick/batch/shard.py
+++ b/pimentowick/batch/shard.py
@@ -1,7 +1,8 @@
 """The shards that an entry follows.
 
-A job or keyed call falls to the shard that its id names. Each shard is one stream of
-the log, followed by a few entries; the others pass requests about it on to these.
+The id of a job or of a call with an idempotency key determines its shard. Each shard
+is one stream of the log and is followed by a few entries; other entries forward
+requests about it to these.
 """
 
 import asyncio
@@ -16,14 +17,15 @@
 __all__ = ["Shard", "ShardTable", "find_shard", "rank_entries"]
 
 FOLLOW_INTERVAL_S = 0.5
-# Owners know what the log held at most about twice this time ago.
+# A read may start just before a new record, so an owner's view of the log is at most
+# about twice as old as this.
 READ_WAIT_S = 0.5
-# Nobody acts on the age of a shard without open jobs; a new job ends the wait.
+# The lag of a shard without open jobs is not used, and a new job ends the read.
 IDLE_READ_WAIT_S = 1.0
 
 
 def find_shard(key, shards):
-    """Return the number of the shard that a job or call falls to.
+    """Return the number of the shard that a job or call belongs to.
 
     Examples:
         >>> 0 <= find_shard("batch_00", 8) < 8
@@ -34,9 +36,9 @@
 
 
 def rank_entries(number, names):
-    """Return the names of entries in the order in which they follow a shard.
+    """Return entry names in the order in which they are chosen to follow a shard.
 
-    Rendezvous hashing: an entry that goes moves only the shards that it followed.
+    Uses rendezvous hashing: removing an entry only moves the shards that it followed.
 
     Examples:
         >>> order = rank_entries(3, ["a", "b", "c"])
@@ -48,7 +50,7 @@
 
 
 class Shard:
-    """One shard and the copy of its ledger."""
+    """One shard and the local replica of its ledger."""
 
     def __init__(self, number, log):
         self.number = number
@@ -70,14 +72,15 @@
     async def read_record(self, offset):
         """Return the `pimentowick.external.log.Page` of the record at an offset.
 
-        The page is empty, or begins further on, if the log has dropped the record.
+        The page is empty, or starts at a later offset, if the log has dropped the
+        record.
 
-        Read twice if need be: the pooled connection to the log may have fallen
-        silent for good, and the second read takes a new one. Without that a caller
-        would see an outage of a log that is well.
+        The read is retried once, because the pooled connection may be half-open; the
+        second read uses a new one. Otherwise callers would see an outage of a healthy
+        log.
 
         Raises:
-            LogUnavailableError: The log gave no answer.
+            LogUnavailableError: The log did not answer.
         """
         try:
             return await self.replica.log.read(self.stream, offset, limit=1)
@@ -86,16 +89,16 @@
 
 
 class ShardTable:
-    """Follows the shards that fall to this entry.
+    """Follows the shards that are assigned to this entry.
 
     Args:
         log: `pimentowick.external.log.Log`.
-        fleet: `pimentowick.membership.fleet.Fleet`, which knows the entries.
+        fleet: `pimentowick.membership.fleet.Fleet`, which lists the entries.
         settings: `pimentowick.settings.EntrySettings`.
-        owner: Name of this process as an owner.
+        owner: Name under which this process owns shards.
 
     Attributes:
-        followed: `Shard` by number.
+        followed: `Shard` by number, of the followed shards.
     """
 
     def __init__(self, log, fleet, settings, owner):
@@ -108,12 +111,12 @@
         self._supervisor = supervisor.Supervisor("shards")
 
     async def start(self):
-        """Begin to follow."""
+        """Start following the assigned shards."""
         await self._supervisor.start()
         self._supervisor.start_child("watch", self._follow_loop)
 
     async def close(self):
-        """Stop following."""
+        """Stop following all shards."""
         await self._supervisor.close()
         for shard in self.followed.values():
             await shard.replica.close()
@@ -124,15 +127,15 @@
             names = self.list_entry_names()
             if self._fleet.read_at is not None and names != seen:
                 await self._update_followed()
-                # What is still owned is left once it has been given up.
+                # Shards that are still owned are unfollowed after their release.
                 seen = names if len(self.followed) == self._assigned_count else None
             await asyncio.sleep(FOLLOW_INTERVAL_S)
 
     async def _update_followed(self):
         self._assigned_count = 0
         for number in range(self._settings.shards):
-            # With hundreds of entries one shard takes about a millisecond to rank;
-            # all of them at once would hold up the requests of the moment.
+            # Ranking one shard among hundreds of entries takes about a millisecond.
+            # Ranking all of them at once would delay online requests.
             await asyncio.sleep(0)
             followers = self.list_followers(number)
             is_assigned = self._settings.name in followers
@@ -147,24 +150,24 @@
     async def _unfollow(self, number):
         shard = self.followed[number]
         if shard.ledger.owner == self._owner:
-            # It is given up first; its work ends with the record that says so.
+            # It is unfollowed after its release, when the release record is read.
             return
         del self.followed[number]
         await shard.replica.close()
-        logger.info("shards: No longer follows shard {}.", number)
+        logger.info("shards: stopped following shard {}", number)
 
     def list_entry_names(self):
-        """Return the names of the entries that may follow, this one included."""
+        """Return the names of the entries that may follow shards, this one included."""
         names = {name for name, host in self._fleet.entries.items() if not host.leaving}
         names.add(self._settings.name)
         return names
 
     def list_followers(self, number):
-        """Return the names of the entries that follow a shard, best first."""
+        """Return the names of the entries that follow a shard, by descending rank."""
         return rank_entries(number, self.list_entry_names())[: self._settings.followers]
 
     def find(self, key):
-        """Return the `Shard` of a job or call, or None if it is not followed here."""
+        """Return the `Shard` of a job or call, or None if it is not followed."""
         return self.followed.get(find_shard(key, self._settings.shards))
 
     def list_owned(self):
--- a/pimentowick/batch/state.py
+++ b/pimentowick/batch/state.py
@@ -1,4 +1,4 @@
-"""What the ledger of a shard keeps of jobs and of calls that must not run twice."""
+"""Data classes of the ledger: jobs, chunks of items and idempotency-key calls."""
 
 import dataclasses
 
@@ -20,21 +20,21 @@
 
     Attributes:
         id: Id of the job.
-        submission: Id that the chunks carry.
+        submission: Id of the submission, which its chunks carry.
         workspace: Name of the workspace.
         key: Idempotency key of the submission.
-        digest: Hash of the content.
-        model: Model that all items ask for.
+        digest: Hash of the submitted content.
+        model: Model of all items.
         items: Number of items.
-        deadline: Epoch seconds, or None.
+        deadline: Deadline in epoch seconds, or None.
         at: When the job was submitted, in epoch seconds.
         state: ``open``, ``cancelled`` or ``done``.
         outcomes: One byte for each item: 0 pending, 1 succeeded, 2 failed.
-        refs: For each item the id of the record that holds its result, or None.
+        refs: Id of the record that holds the result, or None, for each item.
         pending: Number of items without a result.
-        suspects: Attempts during which the target died, by item.
-        cancelled_by: Who cancelled the job.
-        ended_at: When it was done or cancelled, in epoch seconds, or None.
+        suspects: Number of solo runs during which the target failed, by item.
+        cancelled_by: User who cancelled the job, or None.
+        ended_at: When the job was done or cancelled, in epoch seconds, or None.
     """
 
     id: str
@@ -61,22 +61,22 @@
 
     @property
     def failed(self):
-        """Number of items that ended as failed."""
+        """Number of items that failed."""
         return self.outcomes.count(FAILED)
 
     def end(self, state, at):
-        """Close the job at a time that a record states, in epoch seconds."""
+        """End the job at a time that a record states, in epoch seconds."""
         self.state = state
         self.ended_at = max(self.at, at)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """Where some items of a submission are.
+    """Record that holds some items of a submission.
 
     Attributes:
         offset: Offset of the record.
-        size: Number of items in it.
+        size: Number of items in the record.
         id: Id of the record.
     """
 
@@ -87,16 +87,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One call that must not run twice.
+    """One call with an idempotency key, which must run at most once.
 
     Attributes:
         id: Id derived from workspace, service and idempotency key.
-        request: Request that holds the right to run.
-        owner: Name of the entry that claimed it.
-        digest: Hash of the content.
+        request: Id of the request that holds the claim.
+        owner: Name of the entry that claimed the call.
+        digest: Hash of the request's content.
         at: When it was claimed, in epoch seconds.
-        verdict: How it ended, or None while it runs.
-        answer: The answer, for whoever asks again.
+        verdict: Verdict at its end, or None while it is in progress.
+        answer: Stored answer for retries, or None.
     """
 
     id: str
--- a/pimentowick/batch/writer.py
+++ b/pimentowick/batch/writer.py
@@ -1,8 +1,8 @@
-"""Writes the results of an entry's shards, grouped.
+"""Appends the results of an entry's shards to the log in groups.
 
-One append for each item would be far more than the log takes. Results of a shard are
-gathered for a moment and written as one record. A record whose append got no answer
-is written again under the same id, which is harmless if the first one landed.
+One append for each item would exceed the log's append rate. The results of a shard
+are buffered for a short time and written as one record. A record whose append was not
+confirmed is retried under the same id, so a duplicate has no effect.
 """
 
 import asyncio
@@ -20,6 +20,8 @@
 RECORD_MARGIN_BYTES = 2048
 MAX_BUFFERED_BYTES = 4_194_304
 LOG_FULL_BACKOFF_S = 1.0
+# Bytes of a result in its record besides the body and the job id.
+RESULT_OVERHEAD_BYTES = 32
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,20 +32,20 @@
     epoch: int
     results: list = dataclasses.field(default_factory=list)
     sizes: list = dataclasses.field(default_factory=list)
-    # The record whose append got no answer, and how many results it holds.
+    # The record whose append was not confirmed, and its number of results.
     unconfirmed: dict | None = None
     unconfirmed_count: int = 0
 
 
 class ResultWriter:
-    """Gathers results and appends them.
+    """Buffers results and appends them to the log.
 
     Args:
         settings: `pimentowick.settings.EntrySettings`.
 
     Attributes:
-        bytes: Size of the results that wait, in bytes.
-        appends: Number of appends tried.
+        bytes: Size of the buffered results, in bytes.
+        appends: Number of appends attempted.
     """
 
     def __init__(self, settings):
@@ -58,39 +60,40 @@
         self._supervisor = supervisor.Supervisor("results")
 
     async def start(self):
-        """Begin to write."""
+        """Start the task that writes results."""
         await self._supervisor.start()
         self._supervisor.start_child("write", self._write_loop)
 
     async def close(self):
-        """Stop; what waits is lost, and its items run again."""
+        """Stop; items whose results are still buffered will run again."""
         await self._supervisor.close()
 
     @property
     def is_full(self):
-        """Whether no more items should be started before something is written."""
+        """Whether the buffer is full, so that no more items should be started."""
         return self.bytes >= MAX_BUFFERED_BYTES
 
     def add(self, shard, epoch, job, item, status, body):
-        """Take one result.
+        """Buffer one result.
 
         Args:
             shard: `pimentowick.batch.shard.Shard`.
-            epoch: Epoch under which the item was run.
+            epoch: Epoch under which the item ran.
             job: Id of the job.
             item: Number of the item.
             status: ``succeeded`` or ``failed``.
-            body: The result.
+            body: Result of the item.
         """
-        size = len(orjson.dumps(body)) + len(job) + 32
+        size = len(orjson.dumps(body)) + len(job) + RESULT_OVERHEAD_BYTES
         if size > self._max_record_bytes:
             status = "failed"
             body = _make_oversized_error(body)
-            size = len(orjson.dumps(body)) + len(job) + 32
+            size = len(orjson.dumps(body)) + len(job) + RESULT_OVERHEAD_BYTES
         buffer = self._buffers.get(shard.number)
         if buffer is not None and buffer.epoch > epoch:
-            # A result of an epoch that is over is void. Taking it would drop what
-            # waits under the new one, and those items would never complete.
+            # A result of an earlier epoch is void. Accepting it would discard the
+            # results buffered under the current epoch, and their items would never
+            # complete.
             return
         if buffer is None or buffer.epoch != epoch:
             self.drop(shard.number)
@@ -102,7 +105,7 @@
         self._added.set()
 
     def drop(self, number):
-        """Forget what waits for a shard that is no longer owned."""
+        """Discard the buffered results of a shard that is no longer owned."""
         buffer = self._buffers.pop(number, None)
         if buffer is not None:
             self.bytes -= sum(buffer.sizes)
@@ -120,7 +123,7 @@
         return any(buffer.results for buffer in self._buffers.values())
 
     async def flush(self):
-        """Try to write everything that waits."""
+        """Try to append all buffered results."""
         for buffer in list(self._buffers.values()):
             while buffer.results and self._buffers.get(buffer.shard.number) is buffer:
                 if not await self._write(buffer):
@@ -139,11 +142,13 @@
                 buffer.shard.stream, [buffer.unconfirmed]
             )
         except exception.LogFullError:
-            # Everybody's appends are over the rate; more of them would not help.
+            # The append rate of all entries is exceeded; retrying at once adds load.
             await asyncio.sleep(LOG_FULL_BACKOFF_S)
             return False
         except exception.LogError as error:
-            logger.warning("results: Shard {}: {}", buffer.shard.number, error)
+            logger.warning(
+                "results: append to shard {} failed: {}", buffer.shard.number, error
+            )
             return False
         self._remove_written(buffer)
         return True
--- a/pimentowick/placement/__init__.py
+++ b/pimentowick/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which models each engine loads: one decider at a time, fenced orders."""
+"""Placement of models on engines, by one elected controller with fenced orders."""
--- a/pimentowick/placement/claim.py
+++ b/pimentowick/placement/claim.py
@@ -1,9 +1,9 @@
-"""Who decides on the placement, folded from the stream ``placement``.
+"""Leader election for placement: a state machine over the stream ``placement``.
 
-The newest claim is in force, and its fencing number is its place in the stream. A
-reader needs no older record for that, so the stream needs no checkpoints: the
-renewals of the decider carry its number beyond the end of retention, and a claim
-after everything was lost still has a higher number than any before it.
+The newest claim is in force, and its fencing token is derived from its offset in the
+stream. Older records are not needed to determine it, so the stream has no
+checkpoints. Renewals carry the token beyond the log's retention, and even if all
+records are lost, a new claim gets a higher token than any before.
 """
 
 from pimentowick.external import log as external_log
@@ -32,13 +32,13 @@
 
 
 def make_renew(owner, fence):
-    """Return the record that shows the decider with number `fence` alive."""
+    """Return the record that renews the claim with fencing token `fence`."""
     record = {"id": external_log.make_id(), "type": RENEW}
     return {**record, "owner": owner, "fence": fence}
 
 
 def make_release(fence):
-    """Return the record that gives the claim with number `fence` up."""
+    """Return the record that releases the claim with fencing token `fence`."""
     return {"id": external_log.make_id(), "type": RELEASE, "fence": fence}
 
 
@@ -46,9 +46,9 @@
     """The claim in force.
 
     Attributes:
-        fence: Its fencing number; 0 while there is none.
-        owner: The decider, or None.
-        owner_offset: Offset of its last record.
+        fence: Fencing token of the claim; 0 if there is none.
+        owner: Name of the process that holds the claim, or None.
+        owner_offset: Offset of the last record of the claim.
 
     Examples:
         >>> claims = ClaimStateMachine()
@@ -73,8 +73,8 @@
         fence = record.get("fence")
         if type(fence) is not int or fence < self.fence:
             return
-        # A claim stands before its renewals; a number beyond that is made up, and
-        # would keep all true claims out.
+        # The token of a valid claim is at most the offset of its renewals. A larger,
+        # forged one would reject all valid claims.
         if fence > offset:
             return
         if kind == RENEW and isinstance(owner, str):
@@ -103,7 +103,7 @@
 
 
 class ClaimReplica(replica.Replica):
-    """Follows the stream; what passed out of retention is not missed.
+    """Replica of the claims; records lost to the log's retention are not needed.
 
     Args:
         log: `pimentowick.external.log.Log`.
@@ -116,13 +116,13 @@
         self.offset = first
 
     async def is_up_to_date(self):
-        """Return whether the fold holds all that the log holds now.
+        """Return whether all records now in the log have been applied.
 
-        The task that follows may have a read under way that began long ago; an own
-        one without waiting tells at once.
+        The task that follows the stream may be in a long read that began earlier, so
+        the head is requested by a separate read that does not wait.
 
         Raises:
-            LogUnavailableError: The log gave no answer.
+            LogUnavailableError: The log did not answer.
         """
         page = await self.log.read(self.stream, self.offset, limit=1)
         return self.offset >= page.head
--- a/pimentowick/placement/executor.py
+++ b/pimentowick/placement/executor.py
@@ -1,11 +1,11 @@
-"""Carries out orders at the engine beside an agent, one at a time.
-
-Some engines ignore fencing numbers, so the agent checks them. Its memory ends with
-its process, and a new one must not take an order of a decider that the last one had
-refused. Therefore each process has a random boot id, and takes only orders that
-name it. A decider learns the id from a heartbeat answer and then reads the log to
-its head before it sends an order: its claim was still the newest after this process
-began, so no earlier process can have taken an order with a higher number.
+"""Executes placement orders at an agent's engine, one at a time.
+
+Some engines ignore fencing tokens, so the agent checks them. It keeps the highest
+token in memory only, and after a restart it must not accept an order that its previous
+process refused. Therefore each process has a random boot id, and accepts only orders
+with this id. A controller learns the id from a heartbeat answer and then reads the log
+up to its head before it sends an order. Its claim was thus still the newest after this
+process started, so no earlier process can have accepted an order with a higher token.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 BOOT_BYTES = 8
 MAX_ENDED_ORDERS = 64
 MAX_REPORT_LAG_S = 10.0
-"""Longest lag of the engine's own report of what is loaded."""
+"""Maximum lag of the engine's report of loaded models and adapters."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,22 +34,23 @@
 
 
 class Executor:
-    """The orders of one agent.
+    """Accepts and executes the orders for one agent's engine.
 
     Args:
         engine: `pimentowick.external.engine.Engine`.
         weights: `pimentowick.external.weights.WeightStore`, or None if the engine
-            fetches its weights itself.
-        drain: Coroutine function of a kind and a name that returns when no request
-            for it runs any more, or a bound has passed.
-        settle_s: Longest time that an order of an earlier process of this agent may
-            still be on its way within the engine, in seconds.
+            downloads its weights itself.
+        drain: Coroutine function of a kind and a name that returns once no request
+            uses the model or adapter any more, or after a timeout.
+        settle_s: Maximum time for which an order of an earlier process of this agent
+            may still be in progress at the engine, in seconds.
 
     Attributes:
-        boot: Id of this process.
-        fence: Highest fencing number seen; 0 before any.
-        unloading: ``(kind, name)`` of what is or may be going away.
-        versions: Version by ``(kind, name)`` of what this process loaded.
+        boot: Random id of this process.
+        fence: Highest fencing token seen; 0 if none.
+        unloading: ``(kind, name)`` of models and adapters that are being unloaded, or
+            may be.
+        versions: Version by ``(kind, name)`` of those that this process loaded.
     """
 
     def __init__(self, engine, weights, drain, settle_s):
@@ -69,11 +70,11 @@
         self._supervisor = supervisor.Supervisor("orders")
 
     async def start(self):
-        """Allow orders to be carried out."""
+        """Start accepting orders."""
         await self._supervisor.start()
 
     async def close(self):
-        """Drop the order that runs."""
+        """Cancel the current order."""
         await self._supervisor.close()
 
     @property
@@ -83,14 +84,14 @@
 
     @property
     def loading(self):
-        """Name of what is being loaded, or None."""
+        """Name of the model or adapter that is being loaded, or None."""
         current = self._current
         if current is None or current.action != placement_order.LOAD:
             return None
         return current.name
 
     def submit(self, order):
-        """Take an order, or tell how the same order fares.
+        """Accept an order, or return the status of an order already accepted.
 
         Args:
             order: `pimentowick.placement.order.Order`.
@@ -99,8 +100,8 @@
             `pimentowick.placement.order.Status`.
 
         Raises:
-            ConflictError: The order is that of an older claim, or is meant for an
-                earlier process; nothing was done.
+            ConflictError: The order has a stale fencing token or is for an earlier
+                process; it has no effect.
         """
         if order.boot != self.boot:
             raise exception.ConflictError("The order is meant for an earlier process.")
@@ -129,8 +130,8 @@
             return
         self.fence = fence
         if self._current is not None and not self._sending:
-            # The transfer of an older decider would take the store's rate from
-            # what the new one decides.
+            # The transfer for an older controller would compete for bandwidth with
+            # those of the new one.
             self._supervisor.stop_child("order")
             self._finish_order(self._current, placement_order.SUPERSEDED)
 
@@ -150,7 +151,7 @@
         await asyncio.sleep(max(0.0, self._settled_at - time.monotonic()))
         key = (order.kind, order.name)
         if order.action == placement_order.UNLOAD:
-            # From now on the agent refuses requests for it as not run.
+            # From now on the agent refuses requests for it with the verdict not run.
             self.unloading.add(key)
             await self._drain(*key)
             return
@@ -166,8 +167,8 @@
         try:
             await self._engine.send_order(order.fence, order.action, **fields)
         except exception.UnavailableError as error:
-            # The engine may have obeyed. Until a repetition of the order settles it,
-            # nothing counts on what it was about.
+            # The engine may have executed the order. Until a retry confirms it, the
+            # model or adapter counts as neither loaded nor unloaded.
             logger.warning("orders: {} {}: {}", order.action, order.name, error)
             return placement_order.UNKNOWN
         self._record_done(order)
@@ -176,15 +177,15 @@
     def _record_done(self, order):
         key = (order.kind, order.name)
         loaded = order.action == placement_order.LOAD
-        # The engine's report lags: it would still show what has just gone, and the
-        # decider would take this engine for a replica.
+        # The engine's report lags behind. It would still list a model that was just
+        # unloaded, and the controller would count this engine as a replica.
         self._overrides[key] = _ReportOverride(
             loaded, time.monotonic() + MAX_REPORT_LAG_S
         )
         self.versions.pop(key, None)
         if loaded:
             self.versions[key] = order.version
-        logger.info("orders: {} {} {} done.", order.action, order.kind, order.name)
+        logger.info("orders: {} {} {} done", order.action, order.kind, order.name)
 
     def _finish_order(self, order, state, error=""):
         if self._current is not order:
@@ -200,11 +201,11 @@
             logger.warning("orders: {} {}: {}", order.action, order.name, error)
 
     def list_loaded(self, kind, reported):
-        """Return the names of what is loaded and not about to go.
+        """Return the names of loaded models or adapters that are not being unloaded.
 
         Args:
             kind: ``model`` or ``adapter``.
-            reported: Names that the engine reported, some time ago.
+            reported: Names in the engine's last report, which may be out of date.
         """
         names = set(reported)
         now = time.monotonic()
@@ -218,11 +219,11 @@
         return sorted(name for name in names if (kind, name) not in self.unloading)
 
     def describe(self, models, adapters):
-        """Return what heartbeat answers say about the orders.
+        """Return the fields about placement in a heartbeat answer.
 
         Args:
-            models: Models that the engine reported.
-            adapters: Adapters that it reported.
+            models: Models in the engine's last report.
+            adapters: Adapters in the engine's last report.
         """
         return {
             "models": self.list_loaded("model", models),
--- a/pimentowick/placement/order.py
+++ b/pimentowick/placement/order.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, as the decider sends them to the agent beside it."""
+"""Orders that the placement controller sends to an agent for its engine."""
 
 import dataclasses
 import typing
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order; whoever repeats it keeps its id.
+    """One order; retries carry the same id.
 
     Attributes:
         id: Random id.
-        fence: Fencing number of the decider's claim.
-        boot: The agent's process that it is meant for.
-        action: ``fence``, ``load`` or ``unload``; the first only makes the number
-            known.
+        fence: Fencing token of the controller's claim.
+        boot: Boot id of the agent process that the order is for.
+        action: ``fence``, ``load`` or ``unload``; ``fence`` only announces the fencing
+            token.
         kind: ``model`` or ``adapter``.
         name: Name of the model or adapter.
         version: Version to load.
@@ -47,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """What an agent says of an order.
+    """An agent's answer about an order.
 
     Attributes:
         state: ``done``, ``running``, ``busy`` with another one, ``failed``,
             ``superseded``, or ``unknown`` if the engine's answer was lost.
-        fence: Highest fencing number that the agent knows.
-        boot: The agent's process.
-        error: Why the order failed.
+        fence: Highest fencing token that the agent has seen.
+        boot: Boot id of the agent process.
+        error: Why the order failed, or empty.
     """
 
     state: str
@@ -77,7 +77,7 @@
     """Return an `Order` from JSON.
 
     Raises:
-        ValidationError: It does not have the documented form.
+        ValidationError: The data does not have the documented form.
 
     Examples:
         >>> parse_order({"id": "0" * 8, "fence": 2, "boot": "b", "action": "fence"})
--- a/pimentowick/placement/placement_controller.py
+++ b/pimentowick/placement/placement_controller.py
@@ -1,7 +1,7 @@
-"""Decides on the placement and sees to its orders, while its claim is in force.
+"""Controls model placement: plans changes and sends orders while its claim is in force.
 
-Every entry runs one; the log says which of them decides. Nothing of a decision is
-kept but the claim: what is loaded, the engines tell.
+Every entry runs a controller, and the log determines which one is the leader. Apart
+from the claim, no state is stored: the engines report what is loaded.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 CHECK_INTERVAL_S = 0.1
 IDLE_CHECKS_PER_TAKEOVER = 12
-"""Turns of an entry that doesn't decide in the silence it waits for."""
+"""Number of checks by a follower within the takeover timeout."""
 RENEWALS_PER_TAKEOVER = 3
 RANK_DELAY_S = 1.0
 MAX_LAG_READS = 3
@@ -40,20 +40,20 @@
 
 
 class PlacementController:
-    """One entry's part in the placement.
+    """Placement controller of one entry.
 
     Args:
         log: `pimentowick.external.log.Log`.
         fleet: `pimentowick.membership.fleet.Fleet`.
-        client: `pimentowick.client.Client` for orders.
+        client: `pimentowick.client.Client` for orders to agents.
         settings: `pimentowick.settings.EntrySettings`.
-        owner: Name of this process.
+        owner: Name of this process in claims.
         get_fleet: Function that returns the configuration's
             `pimentowick.configuration.document.Fleet`.
 
     Attributes:
-        replica: The `pimentowick.placement.claim.ClaimReplica`.
-        pending: `pimentowick.placement.order.Order` by agent, of those under way.
+        replica: `pimentowick.placement.claim.ClaimReplica` of the claims.
+        pending: `pimentowick.placement.order.Order` in progress, by agent.
     """
 
     def __init__(self, log, fleet, client, settings, owner, get_fleet):
@@ -80,18 +80,18 @@
         self._supervisor = supervisor.Supervisor("placement")
 
     async def start(self):
-        """Begin to follow the claims."""
+        """Start following the claims."""
         await self._supervisor.start()
         await self.replica.start()
-        self._supervisor.start_child("decide", self._run)
+        self._supervisor.start_child("control", self._run)
 
     async def close(self):
-        """Stop deciding; a claim stays in force until another one."""
+        """Stop; the claim stays in force until another entry claims."""
         await self._supervisor.close()
         await self.replica.close()
 
     async def release(self):
-        """Give the claim up, so that another entry needn't wait for silence."""
+        """Release the claim, so that another entry can take over without a timeout."""
         self._releasing = True
         if not self.is_owner:
             return
@@ -99,7 +99,7 @@
         try:
             await self.replica.append([record], self._settings.append_s)
         except exception.LogError as error:
-            logger.warning("placement: The claim is not released. {}", error)
+            logger.warning("placement: claim not released: {}", error)
 
     @property
     def _claims(self):
@@ -107,7 +107,7 @@
 
     @property
     def is_owner(self):
-        """Whether the newest claim that was read is that of this process."""
+        """Whether the newest claim that was read belongs to this process."""
         return self._claims.owner == self._owner
 
     async def _run(self):
@@ -115,7 +115,7 @@
             began = time.monotonic()
             pause = self._get_check_interval()
             await asyncio.sleep(pause)
-            # Time in which this process was frozen is not the decider's silence.
+            # Time during which this process was suspended is not the leader's silence.
             elapsed = min(time.monotonic() - began, 2 * pause)
             if self._releasing or not self.replica.ready:
                 continue
@@ -127,10 +127,10 @@
                 await self._decide()
 
     def _get_check_interval(self):
-        """Return the time until the next turn, in seconds.
+        """Return the interval until the next check, in seconds.
 
-        Most entries never decide; turns as short as the decider's would be most of
-        what an idle entry costs.
+        Most entries never become the leader. Checking as often as the leader would
+        dominate the cost of an idle entry.
         """
         if self.is_owner or self._claims.owner is None:
             return (
@@ -163,7 +163,7 @@
             logger.warning("placement: {}", error)
 
     def _is_reading(self):
-        # A read that waits for a record is this old already when it ends.
+        # A read held open by the log reports its state from when it began.
         least = MAX_LAG_READS * placement_claim.READ_WAIT_S
         age = time.monotonic() - self.replica.caught_up_at
         return age < max(least, self._settings.takeover_s / RENEWALS_PER_TAKEOVER)
@@ -188,7 +188,7 @@
     async def _decide(self):
         fence = self._claims.fence
         if fence != self._fence:
-            logger.info("placement: This entry decides, fence {}.", fence)
+            logger.info("placement: this entry is the leader with fence {}", fence)
             self._fence = fence
             self._fenced = {}
             self._fence_sent_at = {}
@@ -199,7 +199,7 @@
         if began < self._plan_at:
             return
         self._plan()
-        # A plan for a large fleet takes a while, and this loop serves callers, too.
+        # Planning for a large fleet takes long and blocks the event loop.
         self._plan_at = began + PLAN_IDLE_RATIO * (time.monotonic() - began)
 
     def _plan(self):
@@ -219,10 +219,10 @@
         ]
 
     async def _fence_all(self, peers):
-        """Make the fencing number known to every process of an agent.
+        """Announce the fencing token to every agent process.
 
-        Until an agent knows it, an older decider that wakes up could still change
-        its engine, so the plan must not count on what that engine holds.
+        Until an agent knows the token, an older controller that resumes could still
+        change its engine, so the plan must not rely on what that engine holds.
         """
         now = time.monotonic()
         fresh = [
@@ -235,14 +235,14 @@
             return
         fence = self._fence
         try:
-            # After the boot ids were heard, see `pimentowick.placement.executor`.
+            # After the boot ids were received; see `pimentowick.placement.executor`.
             confirmed = await self.replica.is_up_to_date()
         except exception.LogError as error:
-            logger.warning("placement: The claim is not confirmed. {}", error)
+            logger.warning("placement: claim not confirmed: {}", error)
             return
         if not confirmed or not self.is_owner or self._claims.fence != fence:
             return
-        # Agents that hang must not keep this task from renewing the claim.
+        # Unresponsive agents must not delay the renewal of the claim.
         chosen = random.sample(fresh, min(MAX_CONCURRENT_FENCES, len(fresh)))
         await asyncio.gather(*(self._send_fence(peer, boot) for peer, boot in chosen))
 
@@ -258,7 +258,7 @@
         return placement_order.Order(name, self._fence, boot, action, **fields)
 
     async def _send(self, peer, order):
-        """Return the `pimentowick.placement.order.Status`, or None without one."""
+        """Return the `pimentowick.placement.order.Status`, or None if unanswered."""
         try:
             answer = await self._client.fetch(
                 "POST",
@@ -270,14 +270,14 @@
             if answer.status == 200:
                 return placement_order.Status(**answer.decode())
         except exception.PimentowickError as error:
-            logger.debug("placement: {} did not answer. {}", peer.name, error)
+            logger.debug("placement: {} did not answer: {}", peer.name, error)
             return None
         if answer.status == 409:
             self._fenced.pop(peer.name, None)
         return None
 
     def _is_reliable(self, peer):
-        """Return whether a report tells what only this decider changes."""
+        """Return whether only this controller can change the state in a report."""
         report = peer.report
         return (
             self._fenced.get(peer.name) == report["boot"]
@@ -287,10 +287,10 @@
         )
 
     def _list_engines(self, peers):
-        """Return the engines, and what was at those that can't be relied on now.
+        """Return the engines, including the probable state of unreliable ones.
 
-        An agent that restarts, or that doesn't know the fencing number yet, still
-        has its models; to load them elsewhere at once would only move weights.
+        An agent that restarts, or does not know the fencing token yet, still has its
+        models. Loading them elsewhere at once would only move weights.
         """
         now = time.monotonic()
         engines = []
@@ -304,7 +304,7 @@
         reported = {peer.name: set(peer.report["models"]) for peer in peers}
         intervals = {peer.name: peer.interval_s for peer in peers}
         for name, (models, at) in list(self._last_models.items()):
-            # The report after an order is as far away as the next heartbeats.
+            # The first report after an order may take several heartbeat intervals.
             reports_s = MAX_MISSED_REPORTS * intervals.get(name, 0.0)
             if now - at > max(self._settings.takeover_s, reports_s):
                 del self._last_models[name]
@@ -342,7 +342,7 @@
         if order is not None:
             engine.busy = True
             if order.kind == placement_plan.MODEL:
-                # It is neither relied on as a replica nor, while it loads, missed.
+                # It does not count as a replica, nor as missing while it loads.
                 engine.models.discard(order.name)
                 loads = order.action == placement_order.LOAD
                 engine.loading = order.name if loads else None
@@ -368,8 +368,8 @@
             )
             for name, model in configuration.models.items()
         ]
-        # What is no longer configured goes when its slot is needed, but not from
-        # under its users.
+        # A model that was removed from the configuration is unloaded when its slot is
+        # needed, but not while it is in use.
         desired += [
             placement_plan.DesiredModel(name, replicas=0)
             for name, demand in self._demand.items()
@@ -378,9 +378,9 @@
         return desired
 
     def _update_demand(self, peers, elapsed_s):
-        """Follow the demand up at once, and down slowly.
+        """Raise the demand estimates at once, and lower them gradually.
 
-        Replicas that came with each burst and went after it would only move weights.
+        Adding and removing replicas with each burst would only move weights.
         """
         demand = collections.Counter()
         for peer in peers:
@@ -405,7 +405,7 @@
         )
 
     async def _run_order(self, peer, order):
-        """Repeat an order until the agent says how it ended."""
+        """Retry an order until the agent reports its end."""
         try:
             while self._is_current(peer, order):
                 status = await self._send(peer, order)
@@ -416,8 +416,8 @@
             if self.pending.get(peer.name) is order:
                 del self.pending[peer.name]
             self._ended_at[peer.name] = time.monotonic()
-            # Until the next report nothing counts on this engine, and agents of an
-            # idle service are asked seldom.
+            # The engine's state is not relied on until its next report, and agents of
+            # an idle service are polled rarely.
             peer.wake.set()
 
     def _is_current(self, peer, order):
@@ -432,7 +432,10 @@
         if status.state == placement_order.FAILED:
             self._failed_at[peer.name] = time.monotonic()
             logger.warning(
-                "placement: {}: {} failed. {}", peer.name, order.name, status.error
+                "placement: {}: order for {} failed: {}",
+                peer.name,
+                order.name,
+                status.error,
             )
         return status.state in (
             placement_order.DONE,
--- a/pimentowick/placement/plan.py
+++ b/pimentowick/placement/plan.py
@@ -1,7 +1,7 @@
-"""Which engine loads or unloads what next.
+"""Plans which engine loads or unloads a model or adapter next.
 
-A plan is made anew from what the engines report, so it needs no memory: a decider
-that takes over in the middle of a change goes on from what there is.
+Each plan is computed from the engines' reports alone. A controller that takes over
+during a change needs no other state to continue.
 """
 
 import collections
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DesiredModel:
-    """What is to be loaded of one model.
+    """Desired state of one model.
 
     Attributes:
         name: Name of the model.
-        version: Version, or "" if any will do.
-        replicas: Number of engines that are to hold it; with 0 none is added, and
-            the last one stays.
-        adapters: Version by name of its adapters.
+        version: Version, or "" if any version is acceptable.
+        replicas: Desired number of engines that hold the model; with 0, none is added
+            and the last one is kept.
+        adapters: Version by name of the model's adapters.
     """
 
     name: str
@@ -42,16 +42,16 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineState:
-    """One engine as far as it can be relied on.
+    """The known state of one engine.
 
     Attributes:
-        agent: Name of the agent beside it.
-        failure_domain: Its failure domain.
+        agent: Name of the engine's agent.
+        failure_domain: Failure domain of the engine.
         models: Names of the models that are ready.
         adapters: Names of the adapters that are ready.
-        versions: Version by ``kind/name``, where it is known.
-        slots: Most models that it holds.
-        busy: Whether an order for it is under way.
+        versions: Version by ``kind/name``, where known.
+        slots: Maximum number of models that the engine holds.
+        busy: Whether an order for the engine is in progress.
         loading: Model that is being loaded, or None.
         probable_models: Models that are probably loaded: they are not loaded on another
             engine, and they do not count as replicas when one is unloaded.
@@ -68,18 +68,18 @@
     probable_models: set = dataclasses.field(default_factory=set)
 
     def list_expected_models(self):
-        """Return the models that are there, probably there, or on their way."""
+        """Return the models that are ready, probably loaded, or being loaded."""
         return self.models | self.probable_models | ({self.loading} - {None})
 
     def count_used_slots(self):
-        """Return how many slots are taken or about to be."""
+        """Return the number of slots that are in use or reserved by a load."""
         extra = self.loading is not None and self.loading not in self.models
         return len(self.models) + extra
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementChange:
-    """One change at one engine."""
+    """One order to load or unload a model or adapter at one engine."""
 
     agent: str
     action: str
@@ -89,7 +89,7 @@
 
 
 def make_plan(desired, engines, max_changes):
-    """Return the moves that may begin now.
+    """Return the changes that may start now.
 
     Args:
         desired: List of `DesiredModel`.
@@ -114,7 +114,7 @@
         self.engines = engines
         self.max_changes = max_changes
         self.changes = []
-        # Counted once: a fleet has too many engines to go through for each step.
+        # Counted once: a fleet has too many engines to scan them at every step.
         self._ready = collections.Counter()
         self._expected = collections.Counter()
         for engine in engines:
@@ -126,7 +126,7 @@
         ]
 
     def make(self):
-        # A model without any replica comes first: its users are refused.
+        # Models without any replica go first, because their requests are refused.
         order = sorted(
             self.desired.values(),
             key=lambda each: (
@@ -165,7 +165,7 @@
         free = self._list_free(desired)
         if not free or self.max_changes <= 0:
             return False
-        # Models are spread over failure domains first, and over engines then.
+        # Replicas are spread first over failure domains, then over engines.
         replicas_by_domain = collections.Counter(
             engine.failure_domain
             for engine in self.engines
@@ -209,21 +209,21 @@
         self._ready[name] -= 1
         self._expected[name] -= 1
         self.max_changes -= 1
-        # The slot is free once the unload has ended; the next plan fills it.
+        # The slot becomes free when the unload has finished; the next plan uses it.
         return False
 
     def _get_surplus(self, name, allow_below_desired):
-        """Return how many ready replicas of a model could go."""
+        """Return how many ready replicas of a model may be unloaded."""
         ready = self._ready[name]
         desired = self.desired.get(name)
         if desired is None:
             return ready
-        # When another model has none at all, everybody is left one.
+        # If another model has no replica, the others may shrink to one replica.
         min_replicas = 1 if allow_below_desired else max(1, desired.replicas)
         return ready - min_replicas
 
     def _update_version(self, desired):
-        """Load a new version where others hold the model meanwhile."""
+        """Load a new version at one engine while other replicas serve the model."""
         if not desired.version:
             return
         holders = self._list_holders(desired.name)
@@ -234,13 +234,13 @@
         if not old:
             return
         if len(holders) == 1:
-            # The only replica must answer meanwhile: a second one has to come first.
+            # The only replica must keep serving, so a second one is loaded first.
             if self._expected[desired.name] == 1:
                 self._load_new(desired)
             return
         if self.max_changes > 0:
             self._load(old[0], MODEL, desired.name, desired.version)
-            # It may not answer until the load has ended.
+            # The engine may not serve the model until the load has finished.
             old[0].models.discard(desired.name)
             old[0].loading = desired.name
             self._ready[desired.name] -= 1
@@ -263,13 +263,13 @@
 
 
 def compute_replica_count(demand, slots_per_replica, min_replicas, max_replicas):
-    """Return how many replicas carry a demand.
+    """Return the number of replicas needed for a demand.
 
     Args:
-        demand: Requests at once.
-        slots_per_replica: Requests at once that one replica is to have.
-        min_replicas: Fewest replicas.
-        max_replicas: Most replicas.
+        demand: Number of concurrent requests.
+        slots_per_replica: Number of concurrent requests for each replica.
+        min_replicas: Minimum number of replicas.
+        max_replicas: Maximum number of replicas.
 
     Examples:
         >>> compute_replica_count(0, 32, 1, 4), compute_replica_count(70, 32, 1, 4)
--- a/pimentowick/replication/__init__.py
+++ b/pimentowick/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State folded from a log stream, and its copies."""
+"""State machines replicated through log streams, and their checkpoints."""
--- a/pimentowick/replication/checkpoint.py
+++ b/pimentowick/replication/checkpoint.py
@@ -1,9 +1,9 @@
-"""Checkpoints: the state of a fold, kept in the stream that it is folded from.
+"""Checkpoints: snapshots of a state machine, stored in its own log stream.
 
-The log keeps records for a limited time. A checkpoint carries the state forward:
-its parts are ordinary records of the stream, and ``covers`` names the offset up to
-which (exclusive) their state holds. Since a fold depends on the log alone, a
-checkpoint is true whoever wrote it and however late it arrives.
+The log retains records for a limited time, and checkpoints preserve the state beyond
+it. The parts of a checkpoint are ordinary records of the stream; ``covers`` is the
+first offset that the snapshot does not include. Since the state depends only on the
+log, a checkpoint is valid whoever wrote it and however late it arrives.
 """
 
 import base64
@@ -17,19 +17,19 @@
 __all__ = ["CHECKPOINT", "Checkpoint", "CheckpointAssembler", "make_checkpoint"]
 
 CHECKPOINT = "checkpoint"
-# Room in a record for what stands beside the data.
+# Bytes reserved in a record for the fields besides the data.
 RECORD_MARGIN_BYTES = 512
 COMPRESSION_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """A whole checkpoint.
+    """A complete checkpoint.
 
     Attributes:
-        covers: Offset of the first record that the state does not hold.
-        at: When it was written, in epoch seconds of the writer.
-        parts: The dump of the fold.
+        covers: First offset that the state does not include.
+        at: Time of writing, in epoch seconds of the writer's clock.
+        parts: Dump of the state machine.
     """
 
     covers: int
@@ -41,17 +41,17 @@
     """Return the records of a checkpoint.
 
     Args:
-        parts: What `pimentowick.replication.state_machine.StateMachine.dump` returned.
-        covers: Offset of the first record that the fold had not applied.
-        at: The time in epoch seconds.
-        record_bytes: Largest record that the log takes, in bytes.
+        parts: Result of `pimentowick.replication.state_machine.StateMachine.dump`.
+        covers: First offset that the state machine had not applied.
+        at: Time of writing, in epoch seconds.
+        record_bytes: Maximum size of a record in the log, in bytes.
 
     Examples:
         >>> records = make_checkpoint([{"version": 7}], 9, 5.0, 4096)
         >>> CheckpointAssembler().add(records[0])
         Checkpoint(covers=9, at=5.0, parts=[{'version': 7}])
     """
-    # The codec that takes any text and number that a record may have brought.
+    # The standard JSON module accepts any string and number that a record may contain.
     packed = zlib.compress(json.dumps(parts).encode(), COMPRESSION_LEVEL)
     text = base64.b64encode(packed).decode()
     size = record_bytes - RECORD_MARGIN_BYTES
@@ -73,7 +73,7 @@
 
 
 class CheckpointAssembler:
-    """Puts the parts of checkpoints together as they are read."""
+    """Assembles checkpoints from their parts as these are read."""
 
     MAX_PARTIAL = 4
 
@@ -81,11 +81,11 @@
         self._partial = {}
 
     def add(self, record):
-        """Take one part.
+        """Add one part.
 
         Returns:
-            The `Checkpoint` once it is whole, otherwise None. What is malformed is
-            passed over.
+            The `Checkpoint` if it is now complete, otherwise None. Malformed parts are
+            ignored.
         """
         try:
             name, index = record["checkpoint"], record["part"]
@@ -107,6 +107,6 @@
 def _unpack(record, text):
     covers, at = record["covers"], record["at"]
     if type(covers) is not int or not math.isfinite(at):
-        raise ValueError("covers or at is wrong")
+        raise ValueError("covers or at is malformed")
     parts = json.loads(zlib.decompress(base64.b64decode(text, validate=True)))
     return Checkpoint(covers, at, parts)
--- a/pimentowick/replication/checkpoint_writer.py
+++ b/pimentowick/replication/checkpoint_writer.py
@@ -1,8 +1,8 @@
-"""Writes checkpoints before the log drops what they carry forward.
+"""Writes checkpoints before the log drops the records that they cover.
 
-Any process that holds the state may write a checkpoint, since it is true whoever
-wrote it. To keep the number of appends low, the entry that ranks first for a stream
-does it, and the next ones only when they have seen none for longer.
+Any process that holds the state may write a checkpoint, because its content depends
+on the log alone. To limit the number of appends, the first-ranked entry of a stream
+writes it, and the others only if none has appeared for longer.
 """
 
 import asyncio
@@ -23,15 +23,15 @@
 ]
 
 CHECKPOINTS_PER_RETENTION = 4
-# A stream without any checkpoint may be nearly as old as the retention time.
+# A stream without a checkpoint may already be almost as old as the retention time.
 FIRST_CHECKPOINT_FRACTION = 1 / 16
 RANK_DELAY_FRACTION = 1 / 4
 RETRY_FRACTION = 1 / 8
 CHECK_FRACTION = 1 / 40
 MAX_CHECK_INTERVAL_S = 30.0
 MAX_REPLICA_LAG_S = 5.0
-# Claims, results and changes go before: a refused append waits, and each append is
-# followed by a pause, so that one entry makes at most 20 of them a second.
+# Claims, results and configuration changes have priority over these appends: a refused
+# append is retried later, and a pause after each one limits the rate of an entry.
 APPEND_PAUSE_S = 0.05
 RETRY_DELAY_S = 1.0
 MAX_ATTEMPTS = 10
@@ -40,12 +40,12 @@
 
 @dataclasses.dataclass(slots=True)
 class CheckpointedStream:
-    """One stream whose state is carried forward.
+    """One stream whose state is checkpointed.
 
     Attributes:
         replica: `pimentowick.replication.replica.Replica` of the stream.
-        rank: Place of this entry among those that follow the stream, from 0.
-        before_checkpoint: Coroutine function to call before the checkpoint, or None.
+        rank: Rank of this entry among those that follow the stream, from 0.
+        before_checkpoint: Coroutine function to call before each checkpoint, or None.
     """
 
     replica: object
@@ -54,7 +54,7 @@
 
 
 def get_checkpoint_interval(settings):
-    """Return the time between two checkpoints of a stream, in seconds.
+    """Return the interval between two checkpoints of a stream, in seconds.
 
     Args:
         settings: `pimentowick.settings.EntrySettings`.
@@ -63,7 +63,7 @@
 
 
 class CheckpointWriter:
-    """Writes the checkpoints that fall to this entry.
+    """Writes the checkpoints that are due at this entry.
 
     Args:
         settings: `pimentowick.settings.EntrySettings`.
@@ -77,15 +77,15 @@
         self._metrics = metrics
         self._interval = get_checkpoint_interval(settings)
         self._tried_at = {}
-        self._supervisor = supervisor.Supervisor("keeper")
+        self._supervisor = supervisor.Supervisor("checkpoint")
 
     async def start(self):
-        """Begin to watch the ages of the checkpoints."""
+        """Start checking the age of the checkpoints."""
         await self._supervisor.start()
-        self._supervisor.start_child("keep", self._check_loop)
+        self._supervisor.start_child("check", self._check_loop)
 
     async def close(self):
-        """Stop; others write what falls due."""
+        """Stop; other entries write the checkpoints that become due."""
         await self._supervisor.close()
 
     async def _check_loop(self):
@@ -103,8 +103,8 @@
             return False
         if now - replica.caught_up_at > MAX_REPLICA_LAG_S:
             return False
-        # Where the clocks of two entries differ by days, each would find the
-        # checkpoints of the other one too old at every turn.
+        # If the clocks of two entries differ by days, each would find the other's
+        # checkpoints too old at every check.
         tried_at = self._tried_at.get(replica.stream, -math.inf)
         if now - tried_at < self._interval * RETRY_FRACTION:
             return False
@@ -123,8 +123,8 @@
                 await checkpointed.before_checkpoint()
             await self._append_checkpoint(replica)
         except exception.LogError as error:
-            # A part of a checkpoint has no effect; the next turn writes a whole one.
-            logger.warning("keeper: No checkpoint of {}. {}", replica.stream, error)
+            # An incomplete checkpoint has no effect; the next attempt writes a new one.
+            logger.warning("checkpoint: {} not written: {}", replica.stream, error)
             return
         self._metrics.count_checkpoint()
 
@@ -135,14 +135,14 @@
         for start in range(0, len(records), RECORDS_PER_APPEND):
             group = records[start : start + RECORDS_PER_APPEND]
             await append_with_retry(replica, group)
-        logger.info("keeper: {} has a checkpoint at {}.", replica.stream, covers)
+        logger.info("checkpoint: {} written up to offset {}", replica.stream, covers)
 
 
 async def append_with_retry(replica, records):
-    """Append records that may come late, and may come twice.
+    """Append records that may be delayed or duplicated without harm.
 
     Raises:
-        LogError: The log refused or did not answer `MAX_ATTEMPTS` times.
+        LogError: All `MAX_ATTEMPTS` attempts were refused or not answered.
     """
     for attempt in range(1, MAX_ATTEMPTS + 1):
         try:
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -1,8 +1,8 @@
-"""A copy of a fold that follows its stream.
+"""A replica of a state machine that follows a log stream.
 
-One task reads the stream and applies what it reads. The copy never goes back: it
-only moves to higher offsets, also when it has to jump over records that passed out
-of retention by loading a checkpoint.
+One task reads the stream and applies its records. The offset never decreases: when
+records have passed out of retention, the replica skips them by loading a checkpoint
+that covers them.
 """
 
 import asyncio
@@ -24,23 +24,23 @@
 
 
 class Replica:
-    """Follows one stream and keeps its fold up to date.
+    """Follows one stream and keeps its state machine up to date.
 
     Args:
         log: `pimentowick.external.log.Log` to read from.
         stream: Name of the stream.
-        state_machine: `pimentowick.replication.state_machine.StateMachine` to keep.
-        get_wait: Function that returns how long the log may hold an empty answer, in
-            seconds; None means `READ_WAIT_S`.
+        state_machine: `pimentowick.replication.state_machine.StateMachine` to update.
+        get_wait: Function that returns how long the log may hold a read open when
+            there are no new records, in seconds; None means `READ_WAIT_S`.
 
     Attributes:
         offset: First offset not yet applied.
-        ready: Whether the fold has held everything up to some head of the log.
-        caught_up_at: Monotonic time at which the last read that reached the head
-            began; what was in the log then is in the fold. None before.
-        first: Oldest offset that the log kept at the last read.
-        recovering: Whether records are missing and a checkpoint is looked for.
-        checkpoint_covers: What the newest checkpoint in the log covers.
+        ready: Whether the replica has reached the head of the log at least once.
+        caught_up_at: Monotonic start time of the last read that reached the head; all
+            records in the log at that time have been applied. None before that.
+        first: Oldest offset in the log at the last read.
+        recovering: Whether records are missing and a checkpoint is needed.
+        checkpoint_covers: First offset that the newest checkpoint does not cover.
     """
 
     def __init__(self, log, stream, state_machine, get_wait=None):
@@ -64,7 +64,7 @@
         self._supervisor = supervisor.Supervisor(f"replica {stream}")
 
     async def start(self):
-        """Begin to follow the stream."""
+        """Start following the stream."""
         await self._supervisor.start()
         self._supervisor.start_child("follow", self._follow)
 
@@ -91,7 +91,7 @@
             Whether the page reached the head of the log.
 
         Raises:
-            LogUnavailableError: The log gave no answer; nothing was applied.
+            LogUnavailableError: The log did not answer; nothing was applied.
         """
         async with self._read_lock:
             began = time.monotonic()
@@ -113,7 +113,7 @@
 
     def _apply_page(self, page):
         for offset, record in page.records:
-            # A gap would leave out a record; a repeat would apply one twice.
+            # A gap would skip a record; a duplicate would be applied twice.
             if offset != self.offset:
                 break
             self._apply_record(offset, record)
@@ -139,9 +139,9 @@
     def get_checkpoint_age(self):
         """Return the age of the newest checkpoint in seconds, infinite if none.
 
-        Two clocks are asked and the greater age is taken. The time that a record
-        states may come from a clock that is wrong, and the time of reading says
-        nothing about a record that was old when it was read.
+        This is the greater of two ages. The record's own time may come from a wrong
+        clock, and the time since it was read is too short for a record that was old
+        when it was read.
         """
         if self._checkpoint_at is None:
             return math.inf
@@ -149,8 +149,8 @@
         return max(stated, time.monotonic() - self._checkpoint_read_at)
 
     def _begin_recovery(self, first):
-        # What was between our offset and the oldest kept record is gone. Only a
-        # checkpoint can bridge that; until one is found the copy stays as it is.
+        # The records between this replica's offset and the oldest one in the log are
+        # gone. Only a checkpoint can cover them; the state is kept until one is found.
         logger.warning(
             "replica {}: records {} to {} are gone. Looking for a checkpoint.",
             self.stream,
@@ -175,44 +175,45 @@
         return False
 
     def _install_checkpoint(self, found, first):
-        # One that covers less than the oldest kept record would leave a gap again.
+        # A checkpoint that ends before the oldest record in the log would leave a gap.
         if found.covers < first or not self.install_state(found.covers, found.parts):
             return False
         self._record_checkpoint(found)
         return True
 
     def install_state(self, covers, parts):
-        """Take over the state that another copy of this stream dumped.
+        """Replace the state by the dump of another replica of this stream.
 
         Args:
-            covers: Offset of the first record that it had not applied.
-            parts: What its fold dumped.
+            covers: First offset that the other replica had not applied.
+            parts: Dump of its state machine.
 
         Returns:
-            Whether it was taken: never if that would take this copy back.
+            Whether the state was replaced; a dump that is older than the state of this
+            replica, or malformed, is rejected.
         """
         if covers < self.offset:
             return False
         try:
             self.state_machine.load(parts)
         except exception.ValidationError as error:
-            logger.warning("replica {}: A dump is broken. {}", self.stream, error)
+            logger.warning("replica {}: rejected a dump: {}", self.stream, error)
             return False
         self.offset = covers
         self.recovering = False
         self._assembler = checkpoint.CheckpointAssembler()
-        logger.info("replica {}: loaded a state at {}.", self.stream, covers)
+        logger.info("replica {}: loaded the state at offset {}", self.stream, covers)
         return True
 
     async def catch_up(self, timeout_s):
-        """Apply all that the log held when this was called.
+        """Apply all records that were in the log when this was called.
 
         Raises:
-            LogUnavailableError: That took longer than `timeout_s` seconds.
+            LogUnavailableError: This took longer than `timeout_s` seconds.
         """
         deadline = time.monotonic() + timeout_s
-        # The follower may hold a long read that began before this call and says
-        # nothing about it until it ends; the head is asked for beside it.
+        # A long read that began before this call may still be open and does not show
+        # the current head, so the head is requested separately.
         head = await self._read_head(deadline)
         left = max(deadline - time.monotonic(), RETRY_DELAY_S)
         await self.wait_for(lambda: self.offset >= head, left)
@@ -229,10 +230,10 @@
             return page.head
 
     async def wait_for(self, predicate, timeout_s):
-        """Read on until `predicate` holds.
+        """Read the stream until `predicate` is true.
 
         Raises:
-            LogUnavailableError: It did not within `timeout_s` seconds.
+            LogUnavailableError: It is still false after `timeout_s` seconds.
         """
         deadline = time.monotonic() + timeout_s
         while not predicate():
@@ -250,8 +251,8 @@
                 await asyncio.sleep(min(RETRY_DELAY_S, max(left, 0)))
 
     async def _read_some(self):
-        # While the following task holds a long read, its next result is what we
-        # wait for; a second read would only cost the log another request.
+        # If a long read is open, wait for its result; a second read would only add
+        # load to the log.
         if self._read_lock.locked():
             async with self.applied:
                 await self.applied.wait()
@@ -259,20 +260,20 @@
         await self.read_once()
 
     async def append(self, records, timeout_s):
-        """Append records and return once this copy has applied the last of them.
+        """Append records and wait until this replica has applied the last of them.
 
-        A lost answer is settled by reading on: the ids of the records are random,
-        so seeing the last one proves that the append took place.
+        If the answer is lost, the stream is searched for the last record: ids are
+        random, so finding it proves that the append succeeded.
 
         Raises:
-            LogFullError: The log refused; nothing was appended.
-            LogUnavailableError: It is not known whether the append took place.
+            LogFullError: The log refused the append; it had no effect.
+            LogUnavailableError: The outcome of the append is unknown.
         """
         for record in records:
             record.setdefault("id", external_log.make_id())
         deadline = time.monotonic() + timeout_s
-        # Where the answer is lost, the follower may have passed the records by the
-        # time that the loss is noticed; the search begins before them.
+        # If the answer is lost, this replica may have read past the records before the
+        # timeout, so the search starts at the offset before the append.
         position = self.offset
         first = await self._try_append(records, timeout_s)
         left = max(deadline - time.monotonic(), RETRY_DELAY_S)
@@ -298,8 +299,8 @@
             return None
 
     async def _find_record(self, record_id, position, timeout_s):
-        # The append that got no answer may still land; where it has landed
-        # already, a few reads of the head show it.
+        # An append that was not answered may still land later; one that has landed is
+        # found within a few reads.
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             try:
@@ -320,12 +321,12 @@
         )
 
     async def make_checkpoint(self, record_bytes):
-        """Return the records of a checkpoint of the fold as it is now.
+        """Return the records of a checkpoint of the current state.
 
         Args:
             record_bytes: Largest record that the log takes, in bytes.
         """
-        # Packing takes long for a large state; the loop has callers to answer.
+        # Compressing a large state takes long and must not block the event loop.
         return await asyncio.to_thread(
             checkpoint.make_checkpoint,
             self.state_machine.dump(),
--- a/pimentowick/replication/state_machine.py
+++ b/pimentowick/replication/state_machine.py
@@ -1,4 +1,4 @@
-"""What every state that is derived from a log stream has in common."""
+"""Interface of state machines that are replicated through a log stream."""
 
 import abc
 
@@ -8,10 +8,10 @@
 class StateMachine(abc.ABC):
     """A state that is a function of a prefix of one log stream.
 
-    Contract: the state depends on the applied records, their offsets and their
-    order alone, never on the reader's clock, identity or memory. Records that
-    are malformed, stale or superseded change nothing but may be noted.
-    A fold that loaded the dump of another one at offset ``n`` equals a fold that
+    Contract: the state depends only on the applied records, their offsets and their
+    order, never on the replica's clock, identity or process state. Malformed, stale
+    and superseded records have no effect, except that they may be recorded for audit.
+    A state machine that has loaded a dump taken at offset ``n`` equals one that has
     applied all records before ``n``.
     """
 
@@ -20,14 +20,14 @@
         """Apply one record.
 
         Args:
-            offset: Position of the record in its stream, growing by one.
+            offset: Offset of the record in its stream; increases by one.
             record: The record, a dictionary with at least ``id`` and ``type``.
         """
 
     @abc.abstractmethod
     def dump(self):
-        """Return the state as a list of JSON-ready parts of bounded size."""
+        """Return the state as a list of JSON-serializable parts of bounded size."""
 
     @abc.abstractmethod
     def load(self, parts):
-        """Replace the state by the one that `dump` returned as `parts`."""
+        """Replace the state by the one in `parts`, as returned by `dump`."""
