--- a/pimentowick/batch/tests/parts.py
+++ b/pimentowick/batch/tests/stubs.py
@@ -1,4 +1,4 @@
-"""Parts of an entry, without the entry."""
+"""Settings and shard stubs for tests of single components of an entry."""
 
 import types
 
@@ -17,7 +17,7 @@
 
 
 def make_shard(number, log, records=()):
-    """Return a shard that has read some records and appends to a log."""
+    """Return a stub of a shard that has applied `records` and appends to `log`."""
     ledger = batch_ledger.Ledger()
     for offset, record in enumerate(records):
         ledger.apply(offset, record)
--- a/pimentowick/batch/tests/test_audit.py
+++ b/pimentowick/batch/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""Notes of a ledger: kept in its dump, and bounded whatever a record holds."""
+"""Audit events of a ledger: included in its dump, and bounded for any record."""
 
 import orjson
 
--- a/pimentowick/batch/tests/test_ledger.py
+++ b/pimentowick/batch/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Rules of the ledger, on drawn streams."""
+"""Properties of the ledger, checked on generated streams of records."""
 
 import json
 
@@ -67,7 +67,7 @@
 
 @strategies.composite
 def streams(draw):
-    """Draw submissions among other records, with duplicates and broken copies."""
+    """Generate submissions among other records, with duplicates and broken copies."""
     stream = [batch_record.make_claim(1, "a#1", 0.0)]
     for job in draw(strategies.lists(jobs, max_size=4)):
         stream += submit(job, submission=draw(strategies.sampled_from([None, "s-j1"])))
@@ -96,7 +96,7 @@
 
 
 def get_effect(ledger):
-    """Return the dump without the notes on what had none."""
+    """Return the dump without the audit events, which also list void records."""
     return [part for part in ledger.dump() if "notes" not in part]
 
 
@@ -140,10 +140,9 @@
 
 
 def test_record_of_an_owner_that_was_replaced_is_void():
-    """An owner is frozen, another one takes over, and the first one wakes.
+    """A suspended owner resumes after a takeover and appends records of its epoch.
 
-    Its results would complete items that the second one runs; the user would find a
-    job complete whose results nobody stands for.
+    Its results must not complete items that the new owner is running.
     """
     stream = [batch_record.make_claim(1, "a#1", 0.0), *submit("j0")]
     stream.append(batch_record.make_claim(2, "b#1", 0.0))
@@ -158,9 +157,9 @@
 
 
 def test_broken_row_voids_the_whole_record():
-    """A record of results breaks off after its first row.
+    """A record of results is malformed after its first row.
 
-    The item of that row would count as complete and its result could not be read.
+    The item of the first row must not count as complete without a readable result.
     """
     rows = [["j0", 0, "succeeded", {}], ["j0", 1, "unheard of", {}]]
     broken = batch_record.make_results(1, rows, 9.0)
@@ -170,10 +169,10 @@
 
 
 def test_record_appended_again_only_moves():
-    """Records are appended again before the log drops them.
+    """Needed records are appended again before the log drops them.
 
-    The copies carry the epoch of an owner that is gone. If they were void, the items
-    and results would be lost with the first copies.
+    The copies carry an old epoch. If they were void, items and results would be lost
+    together with the first copies.
     """
     result = batch_record.make_results(1, [["j0", 0, "succeeded", {}]], 9.0)
     stream = [batch_record.make_claim(1, "a#1", 0.0), *submit("j0"), result]
@@ -190,9 +189,9 @@
 
 
 def test_late_copy_of_an_expiry_drops_no_later_job():
-    """The append that drops a job is sent twice, and one copy lands much later.
+    """The append that expires a job is duplicated, and one copy lands much later.
 
-    Meanwhile the key was used again; its user would find the results gone.
+    The key has been used again by then, and the new job must stay.
     """
     stream = [batch_record.make_claim(1, "a#1", 0.0), *submit("j0", 2, "first")]
     stream.append(batch_record.make_cancelled("j0", "a", 8.0))
@@ -214,16 +213,16 @@
 
 
 def make_call(name):
-    """Return the claim of a call and its end."""
+    """Return the records of a call's claim and its end."""
     claimed = batch_record.make_call_claimed(name, f"r-{name}", "a#1", "d", 1.0)
     return claimed, batch_record.make_call_ended(name, f"r-{name}", "ran", {})
 
 
 def test_call_that_never_ends_keeps_no_ended_ones(monkeypatch):
-    """An entry dies with a keyed call, and others end after it, some of them late.
+    """An entry crashes during a call, and later calls end, some out of order.
 
-    The table would grow without bound behind the first one, and each checkpoint with
-    it, until the entry has no memory left.
+    The table of calls and the checkpoints must stay bounded although the first call
+    never ends.
     """
     monkeypatch.setattr(batch_ledger, "MAX_ENDED_CALLS", 3)
     stuck, _ = make_call("stuck")
--- a/pimentowick/batch/tests/test_ownership.py
+++ b/pimentowick/batch/tests/test_ownership.py
@@ -1,18 +1,18 @@
-"""How an owner shows that it is alive."""
+"""Renewal of shard ownership."""
 
 import asyncio
 import types
 
 from pimentowick.batch import ownership
 from pimentowick.batch import record as batch_record
-from pimentowick.batch.tests import parts, test_ledger
+from pimentowick.batch.tests import stubs, test_ledger
 
 
 def test_slow_append_of_one_shard_holds_back_no_other():
-    """The log answers appends to one shard no more, and those to another one.
+    """The log stops answering appends to one shard, but answers those to another.
 
-    Without renewals of the other shard its owner would be replaced while it lives,
-    and what it runs would run a second time.
+    Without renewals of the other shard, its live owner would be replaced and its items
+    would run twice.
     """
 
     async def check():
@@ -32,9 +32,9 @@
             batch_record.make_claim(1, "a#1", 0.0),
             *test_ledger.submit("j0"),
         ]
-        shards = {number: parts.make_shard(number, log, owned) for number in (0, 1)}
+        shards = {number: stubs.make_shard(number, log, owned) for number in (0, 1)}
         table = types.SimpleNamespace(followed=shards)
-        settings = parts.make_settings(takeover_s=0.3)
+        settings = stubs.make_settings(takeover_s=0.3)
         watch = ownership.Ownership(table, None, settings, "a#1", None)
         await watch.start()
         try:
--- a/pimentowick/batch/tests/test_writer.py
+++ b/pimentowick/batch/tests/test_writer.py
@@ -1,24 +1,24 @@
-"""What becomes of results on their way to the log."""
+"""Buffering of results before they are appended to the log."""
 
 import asyncio
 import json
 
 from pimentowick.batch import writer
-from pimentowick.batch.tests import parts
+from pimentowick.batch.tests import stubs
 from pimentowick.replication.tests import memory
 
 
 def test_late_result_of_an_old_epoch_drops_none_of_the_new_one():
-    """A shard is lost and won again, and an item of the first time ends late.
+    """A shard is lost and reacquired, and an item of the earlier epoch ends late.
 
-    The results that wait under the new epoch would be dropped with it, and their
-    items would never complete: the job hangs.
+    Its result must not discard the results buffered under the new epoch, whose items
+    would never complete.
     """
 
     async def check():
         log = memory.MemoryLog()
-        shard = parts.make_shard(0, log)
-        results = writer.ResultWriter(parts.make_settings())
+        shard = stubs.make_shard(0, log)
+        results = writer.ResultWriter(stubs.make_settings())
         body = {"custom_id": "x"}
         results.add(shard, 2, "j", 0, "succeeded", body)
         results.add(shard, 1, "j", 1, "succeeded", body)
--- a/pimentowick/placement/tests/conftest.py
+++ b/pimentowick/placement/tests/conftest.py
@@ -15,7 +15,7 @@
 
 
 class Bench:
-    """One stand-in engine, a weight store, and an agent that can be replaced."""
+    """A fake engine, a weight store, and an agent that can be restarted."""
 
     def __init__(self, **engine_settings):
         self.engine = engine.Engine(models=["old"], load_lag_s=0.0, **engine_settings)
@@ -61,13 +61,13 @@
         )
 
     async def send(self, order):
-        """Return the status code and the answer."""
+        """Return the status code and the body of the answer."""
         body = dataclasses.asdict(order)
         answer = await self.client.fetch("POST", self.agent.address, "/orders", body)
         return answer.status, answer.decode()
 
     async def wait_until_ended(self, order):
-        """Repeat an order until it has ended, and return how."""
+        """Retry an order until it has ended, and return its final state."""
         async with asyncio.timeout(WAIT_S):
             while True:
                 status, answer = await self.send(order)
@@ -86,7 +86,7 @@
         server.board.place(faults.Order(kind, **fields))
 
     def list_orders(self):
-        """Return the orders that the engine has carried out."""
+        """Return the orders that the engine has executed."""
         return [(each["action"], each["name"]) for each in self.engine.orders]
 
 
--- a/pimentowick/placement/tests/test_claim.py
+++ b/pimentowick/placement/tests/test_claim.py
@@ -16,23 +16,23 @@
 
 
 def test_an_owner_that_was_frozen_can_not_renew_its_claim():
-    """A decider is frozen, another one claims, and the first wakes up and goes on.
-    If its renewal counted, both would give orders."""
+    """A controller is suspended, another one claims, and the first one resumes. If its
+    renewal took effect, both would send orders."""
     records = [claim.make_claim("a"), claim.make_claim("b"), claim.make_renew("a", 1)]
     assert fold(records).owner == "b"
 
 
 def test_a_made_up_number_is_void():
-    """A broken process writes a renewal with a huge number. If it counted, no true
-    claim could follow and nothing would ever be placed again."""
+    """A faulty process writes a renewal with a huge fencing token. If it took effect,
+    no valid claim could follow."""
     records = [claim.make_claim("a"), claim.make_renew("x", 10**6)]
     records += [{"type": "renew", "owner": "x", "fence": None}, {"type": "claim"}]
     assert fold(records).owner == "a"
 
 
 def test_readers_agree_without_the_old_records():
-    """The log drops old records. An entry that starts then must learn the same
-    decider and number as those that read everything, or two would decide."""
+    """The log drops old records. An entry that starts afterwards must determine the
+    same leader and fencing token as the others, or two controllers would be active."""
     rng = random.Random(3)
     for _ in range(300):
         records, claims = [], claim.ClaimStateMachine()
--- a/pimentowick/placement/tests/test_executor.py
+++ b/pimentowick/placement/tests/test_executor.py
@@ -2,8 +2,8 @@
 
 
 def test_an_order_reaches_the_engine_once_however_often_it_is_sent(run_bench):
-    """The agent's answers are lost and the decider repeats its order. If each
-    repetition went to the engine, it would load the same weights over and over."""
+    """The agent's answers are lost and the controller retries its order. The engine
+    must not load the same weights for each retry."""
 
     async def check(bench):
         order = bench.make_order(5)
@@ -20,9 +20,9 @@
 
 @pytest.mark.parametrize("check_fence", [True, False])
 def test_a_stale_controller_is_refused(run_bench, check_fence):
-    """A decider is frozen, another one takes over, and the first wakes up and sends
-    what it had decided. If it were obeyed, users would lose a model that the new
-    decider counts on. Half of the engines would obey it."""
+    """A controller is suspended, another one takes over, and the first one resumes and
+    sends an old order. The agent must refuse it, also for engines that ignore fencing
+    tokens, or a model would be lost on which the new controller relies."""
 
     async def check(bench):
         assert await bench.wait_until_ended(bench.make_order(7)) == "done"
@@ -37,9 +37,9 @@
 def test_a_stale_controller_is_refused_after_a_restart_of_the_agent(
     run_bench, check_fence
 ):
-    """The agent has obeyed the new decider and is started again, so it remembers no
-    number. The old decider wakes up and repeats its order. The engine may not check
-    who asks, so a user would find the model gone."""
+    """The agent restarts after an order of the new controller and forgets the fencing
+    token. It must still refuse a retry by the old controller, also for engines that
+    ignore fencing tokens."""
 
     async def check(bench):
         stale = bench.make_order(6, "unload", "old")
@@ -54,8 +54,8 @@
 
 
 def test_a_new_agent_waits_until_orders_of_the_last_one_have_ended(run_bench):
-    """The agent dies while the engine works on its order. A new agent that sent the
-    next order at once could be overtaken, and the older one would come last."""
+    """The agent crashes while the engine executes its order. An order that the new
+    agent sends at once could be overtaken by the older one."""
 
     async def check(bench):
         await bench.restart_agent(settle_s=0.5)
@@ -69,8 +69,8 @@
 
 
 def test_a_lost_answer_of_the_engine_is_settled_by_repetition(run_bench):
-    """The engine unloads a model and its answer is lost. If the agent took it for
-    not done, users would be sent to a model that is gone."""
+    """The engine unloads a model and the answer is lost. If the agent still reported
+    the model as loaded, requests would be routed to it."""
 
     async def check(bench):
         await bench.wait_until_ended(bench.make_order(5))
@@ -89,7 +89,7 @@
 
 def test_a_repeated_load_does_not_transfer_the_weights_again(run_bench):
     """The engine's answer to a load is lost. A second transfer of the same weights
-    would take the store's rate from loads that users wait for."""
+    would take bandwidth of the weight store from other loads."""
 
     async def check(bench):
         bench.place_fault(bench.engine, "lose_answer", count=1, path="/orders")
@@ -101,8 +101,8 @@
 
 
 def test_a_load_fails_while_the_weight_store_is_down(run_bench):
-    """The weight store is down. The engine must not be told to load what is not
-    there, and what it has must go on answering its users."""
+    """The weight store is down. The engine must not be told to load missing weights,
+    and must keep serving its loaded models."""
 
     async def check(bench):
         bench.place_fault(bench.store, "down")
@@ -116,8 +116,8 @@
 
 
 def test_a_newer_controller_cancels_the_transfer_of_an_older_one(run_bench):
-    """A decider dies in the middle of a long transfer. If the transfer went on, the
-    next decider would wait for what it may not even want."""
+    """A controller crashes during a long transfer. The next one must not have to wait
+    for a transfer that it may not need."""
 
     async def check(bench):
         bench.store.bytes_per_s = 100.0
--- a/pimentowick/placement/tests/test_placement_controller.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -15,7 +15,7 @@
 
 
 class PlacedFleet(embedded.Embedded):
-    """An embedded deployment with a weight store and placed models."""
+    """An embedded deployment with a weight store and configured models."""
 
     def __init__(self, max_models=2, **fields):
         self.store = weights.WeightStore(
@@ -44,7 +44,7 @@
         return await self.change("fleet", "fleet", amends, body)
 
     def find_controller(self):
-        """Return the name of the entry that gives orders, or None."""
+        """Return the name of the entry whose controller is active, or None."""
         for name, entry in self.entries.items():
             controller = entry.placement_controller
             if (
@@ -71,7 +71,7 @@
         )
 
     async def claim_for(self, owner):
-        """Let the log show a claim of somebody else, and return its number."""
+        """Append a claim by another owner to the log, and return its fencing token."""
         record = placement_claim.make_claim(owner)
         log = next(iter(self.entries.values())).placement_controller.replica.log
         return 1 + await log.append(placement_claim.STREAM, [record])
@@ -94,7 +94,7 @@
 
 
 async def freeze_controller(fleet):
-    """Stop the reads of the decider, so that it goes on believing in its claim."""
+    """Stop the reads of the active controller, so that it doesn't see later claims."""
     await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
     await fleet.wait_for(fleet.is_settled)
     name = fleet.find_controller()
@@ -131,16 +131,15 @@
 
 
 def test_a_controller_that_is_killed_during_a_change_is_replaced(run_placed_fleet):
-    """The entry that decides is lost while an engine waits for weights. The model
-    that the operator asked for must still come, once, and no user may miss the one
-    that is there."""
+    """The leading entry crashes while an engine waits for weights. The new model must
+    still be loaded, exactly once, and the other model must stay available."""
 
     async def check(fleet):
         fleet.store.bytes_per_s = 1.0
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
         await fleet.crash(fleet.find_controller())
-        # The transfer under way still has its old rate; the next decider ends it.
+        # The transfer in progress keeps its rate; the next controller cancels it.
         fleet.store.bytes_per_s = 1e6
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
@@ -155,9 +154,9 @@
 def test_a_frozen_controller_orders_nothing_after_a_takeover(
     run_placed_fleet, check_fence
 ):
-    """The entry that decides is frozen with orders in its hands, another one claims,
-    and the first wakes up. What it still sends must reach no engine, whether the
-    engine checks fencing numbers or not."""
+    """The leader is suspended with pending orders, another entry claims, and the first
+    one resumes. Its orders must reach no engine, whether the engine checks fencing
+    tokens or not."""
 
     async def check(fleet):
         await fleet.place(MODELS)
@@ -184,14 +183,14 @@
 
 
 def test_a_frozen_controller_can_not_use_a_restarted_agent(run_placed_fleet):
-    """As before, and the agents are started again meanwhile, so none remembers the
-    number. The frozen decider must not win over them by asking for their ids."""
+    """As above, but the agents restart and forget the fencing token. The suspended
+    controller must not gain control of them by learning their new boot ids."""
 
     async def check(fleet):
         await fleet.place(MODELS)
         _, frozen = await freeze_controller(fleet)
         fence = await fleet.claim_for("nobody#1")
-        # The claim of somebody who never acts: only the log knows of it.
+        # The new claim's owner never acts, so only the log shows the claim.
         before = count_orders_of(fleet, frozen)
         name = next(iter(fleet.agents))
         await fleet.crash(name)
@@ -213,8 +212,8 @@
 
 
 def test_an_agent_that_is_started_again_is_not_loaded_again(run_placed_fleet):
-    """An agent is replaced while its engine goes on. To load its models elsewhere,
-    or again, would take the store's rate from what users wait for."""
+    """An agent restarts while its engine keeps running. Loading its models again, or
+    elsewhere, would take bandwidth of the weight store from other loads."""
 
     async def check(fleet):
         await fleet.place(MODELS)
@@ -231,8 +230,8 @@
 
 
 def test_a_lost_order_answer_is_repeated_under_the_same_number(run_placed_fleet):
-    """An engine loads a model and its answer is lost. The order is repeated with the
-    same number, and the operator sees one replica, not two."""
+    """An engine loads a model and the answer is lost. The order must be retried with
+    the same fencing token, and only one replica must be loaded."""
 
     async def check(fleet):
         for target in fleet.targets.values():
@@ -248,8 +247,8 @@
 
 
 def test_a_weight_store_that_is_down_takes_nothing_away(run_placed_fleet):
-    """The weight store is down when the operator asks for another model. What is
-    loaded stays, and the model comes once the store is back."""
+    """The weight store is down when a new model is configured. Loaded models must stay,
+    and the new one must be loaded once the store is back."""
 
     async def check(fleet):
         fleet.store.board.place(faults.Order("down"))
@@ -268,8 +267,8 @@
 
 
 def test_a_model_is_never_without_a_replica_while_others_come(run_placed_fleet):
-    """Engines hold one model each and the operator asks for a second one. Requests
-    for the first are sent all the time; none may find it gone."""
+    """Engines hold one model each, and a second model is configured. No request for the
+    first one may be refused meanwhile."""
 
     async def check(fleet):
         statuses = collections.Counter()
@@ -292,8 +291,8 @@
 
 
 def test_loads_are_paced_by_the_configuration(run_placed_fleet):
-    """Every engine is to load a model at once. If all transfers ran together, the
-    weight store would serve each so slowly that no user got the model for long."""
+    """All engines are to load a model. Without a limit on concurrent transfers, the
+    weight store's bandwidth would be shared and every load would be slow."""
 
     async def check(fleet):
         fleet.store.bytes_per_s = 2000.0
@@ -314,8 +313,8 @@
 
 
 def test_a_log_outage_stops_no_order_under_way(run_placed_fleet):
-    """The log is down when the decider needs it not. A load that was decided on must
-    still end, and no other entry may think itself the decider."""
+    """The log is down while a load is in progress. The load must finish, and no other
+    entry may act as the leader."""
 
     async def check(fleet):
         await fleet.place(MODELS)
@@ -330,9 +329,9 @@
 
 
 def test_a_new_controller_moves_nothing_that_is_in_place(run_placed_fleet):
-    """The entry that decides is lost with nothing to do. The next one hears of the
-    engines one by one; if it took the first ones for all, it would load again what
-    the others hold, and take room from what users need."""
+    """The leader crashes with no change pending, and the next one receives the engines'
+    reports one by one. It must not load models again that are on engines whose reports
+    are still missing."""
 
     async def check(fleet):
         await fleet.place(MODELS)
@@ -351,7 +350,7 @@
         )
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
-        # The engine that holds the model is heard of last.
+        # The report of the engine that holds the model arrives last.
         peers = controller._list_peers()
         holder = next(peer for peer in peers if NEW in peer.report["models"])
         holder.report = {**holder.report, "fence": 0}
@@ -363,9 +362,9 @@
 
 
 def test_a_report_from_before_the_number_was_known_is_not_relied_on(run_placed_fleet):
-    """An agent answers a heartbeat, then carries out an order of the old decider, and
-    then hears of the new one. That answer must not count as a replica: the other one
-    would go, and users would find none."""
+    """An agent answers a heartbeat, executes an order of the old controller, and then
+    learns the new fencing token. The outdated answer must not count as a replica, or
+    the last real one could be unloaded."""
 
     async def check(fleet):
         await fleet.place(MODELS)
--- a/pimentowick/placement/tests/test_plan.py
+++ b/pimentowick/placement/tests/test_plan.py
@@ -44,8 +44,8 @@
 
 
 def test_a_replica_that_is_only_probable_does_not_let_another_go():
-    """An agent has just restarted, and an older decider could still unload there. If
-    its replica counted, the other one would go and users would find none."""
+    """An agent has just restarted, and an older controller may still unload its model.
+    It must not count as the replica that lets another one be unloaded."""
     engines = make_engines("a", "")
     engines[1].probable_models, engines[1].busy = {"a"}, True
     assert list_changes([plan.DesiredModel("a"), plan.DesiredModel("b")], engines) == []
@@ -65,12 +65,12 @@
 
 
 def test_the_only_replica_is_not_replaced_in_place():
-    """The operator wants a new version of a model that one engine holds. If it were
-    loaded over the old one, users would find none for the time of the load."""
+    """A new version is desired of a model that one engine holds. Loading it in place
+    would leave the model without a replica during the load."""
     desired = [plan.DesiredModel("a", "2")]
     engines = make_engines("a")
     assert list_changes(desired, engines) == []
-    # With a second engine the new version comes first, and the old one follows.
+    # With a second engine, the new version is loaded there first.
     engines = make_engines("a", "")
     assert list_changes(desired, engines) == [("agent-1", "load", "a")]
 
@@ -82,8 +82,8 @@
 
 
 def test_any_change_of_the_desired_state_leaves_every_model_a_replica():
-    """Wishes change at random while moves are under way, and loads fail now and
-    then. Whatever was ready and is still wanted must stay ready somewhere."""
+    """The desired state changes at random while changes are in progress, and some loads
+    fail. A desired model that is ready must stay ready on some engine."""
     rng = random.Random(11)
     names = ["a", "b", "c", "d"]
     for slots in (1, 2):
--- a/pimentowick/replication/tests/memory.py
+++ b/pimentowick/replication/tests/memory.py
@@ -1,4 +1,4 @@
-"""A log within the process, whose answers and effects a test can hold back."""
+"""An in-process log that can lose or delay appends and their answers."""
 
 import asyncio
 import json
@@ -13,13 +13,13 @@
 
 
 class MemoryLog(external_log.Log):
-    """The stand-in log without a socket.
+    """The fake log without a network connection.
 
     Attributes:
         stored: The `pimentowick.fakes.log.Log` that holds the streams.
-        down: Whether nothing gets an answer.
-        lose_answers: Number of appends that take effect without an answer.
-        delayed: Appends that got no answer and have not landed, while it is a list.
+        down: Whether all requests fail.
+        lose_answers: Number of further appends that take effect without an answer.
+        delayed: If a list, appends fail and are stored in it until `land_delayed`.
     """
 
     def __init__(self, **settings):
@@ -44,8 +44,8 @@
 
     async def read(self, stream, offset, limit=500, wait_s=0.0):
         self._check()
-        # A read over a socket always lets other tasks run. The wait of the stand-in
-        # may lose a cancellation, which nobody notices who is behind a socket.
+        # A read over a socket always yields to other tasks. The wait of the fake log
+        # may swallow a cancellation, which has no effect behind a socket.
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
@@ -57,7 +57,7 @@
         return external_log.Page(records, *self.stored.measure(stream))
 
     def land_delayed(self):
-        """Let the held appends take effect."""
+        """Let the delayed appends take effect."""
         delayed, self.delayed = self.delayed, None
         for stream, records in delayed:
             self.stored.append(stream, records)
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Copies of a stream through lost answers, outages and the end of retention."""
+"""Replicas through lost answers, outages and the end of the log's retention."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class Trace(state_machine.StateMachine):
-    """Keeps the ids that it applied, in their order."""
+    """State machine that stores the ids of the applied records in order."""
 
     def __init__(self):
         self.ids = []
@@ -57,10 +57,10 @@
 
 
 def test_lost_answer_of_an_append_is_settled():
-    """The log takes an append and its answer is lost; the follower reads it first.
+    """The answer of an append is lost, and the replica reads the record first.
 
-    The search for it began where the follower stood and so behind the record: the
-    caller was told that nothing is known of a job that was safe.
+    If the search started at the replica's current offset, it would miss the record and
+    report the outcome as unknown.
     """
 
     async def check(log, follow):
@@ -82,10 +82,9 @@
 
 
 def test_append_that_lands_late_is_found_or_reported_as_unknown():
-    """An append gets no answer, the head shows nothing, and the record lands later.
+    """An append is not answered, and its record lands after a read of the head.
 
-    To call that a failure would be untrue: the job runs though its user was told
-    that it does not.
+    Reporting it as failed would be wrong, because the record takes effect.
     """
 
     async def check(log, follow):
@@ -106,10 +105,10 @@
 
 
 def test_copies_agree_over_the_end_of_retention():
-    """Records pass out of retention while one reader is behind and one is new, and
-    the first checkpoint that they find is too old.
+    """Records pass out of retention while one replica lags and another one is new.
 
-    Without a checkpoint they would stay without a state, or take one with a gap.
+    The first checkpoint that they read is too old. They must neither stay without a
+    state nor load one with a gap.
     """
 
     async def check(log, follow):
@@ -136,9 +135,9 @@
 
 
 def test_copy_never_goes_back():
-    """An old or broken checkpoint is found in the stream or offered by a peer.
+    """An old or malformed checkpoint is in the stream or offered by a peer.
 
-    Taking it would undo what was in force, such as a token that was withdrawn.
+    Loading it would undo later records, such as the revocation of a token.
     """
 
     async def check(log, follow):
@@ -153,7 +152,7 @@
         assert copy.state_machine.ids == ["a", "b", "c"]
         assert not copy.install_state(1, [{"ids": ["a"]}])
         assert not copy.install_state(9, None)
-        # A reader that lost records needs one that covers up to what is kept.
+        # A recovering replica needs a checkpoint up to the oldest record in the log.
         log.stored.truncate(STREAM, 3)
         new = replica.Replica(log, STREAM, Trace())
         await new.read_once()
@@ -167,9 +166,9 @@
 
 
 def test_broken_records_stop_no_reader():
-    """Somebody writes what is no record, or half a checkpoint.
+    """The stream contains malformed records and incomplete checkpoints.
 
-    A reader that fails on it would stand still, and with it all that it serves.
+    A replica that fails on one would stop applying records.
     """
 
     async def check(log, follow):
@@ -185,10 +184,10 @@
 
 
 def test_outage_is_waited_for_and_never_read_as_an_answer():
-    """The log is down for longer than every wait.
+    """The log is down for longer than every timeout.
 
-    A copy that took silence for an empty log would show a state without the newest
-    records as up to date.
+    A replica that treats the missing answer as an empty log would report a stale state
+    as up to date.
     """
 
     async def check(log, follow):
