--- a/pimentowick/batch/audit.py
+++ b/pimentowick/batch/audit.py
@@ -17,7 +17,7 @@
 
 MAX_AUDIT_EVENTS = 500
 """Number of events that one ledger keeps."""
-TEXT_LIMIT = 200
+MAX_TEXT_CHARS = 200
 """Characters of a text field that an event keeps, to bound the size of a dump."""
 
 
@@ -78,7 +78,7 @@
     return AuditEvent(
         offset=offset,
         at=0.0,
-        by=owner[:TEXT_LIMIT],
+        by=owner[:MAX_TEXT_CHARS],
         client="",
         kind="release",
         name="",
@@ -116,4 +116,4 @@
 
 
 def _get_text(record, key):
-    return str(record.get(key, ""))[:TEXT_LIMIT]
+    return str(record.get(key, ""))[:MAX_TEXT_CHARS]
--- a/pimentowick/batch/call.py
+++ b/pimentowick/batch/call.py
@@ -82,8 +82,8 @@
         )
         try:
             # A claim that takes effect after the request's deadline is useless.
-            bound = min(self._settings.append_s, timeout_s)
-            await shard.replica.append([claim], bound)
+            append_timeout_s = min(self._settings.append_s, timeout_s)
+            await shard.replica.append([claim], append_timeout_s)
         except exception.LogFullError as error:
             raise _make_unclaimed_error(str(error)) from error
         except exception.LogUnavailableError as error:
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -395,11 +395,13 @@
 
     async def _append_suspect(self, active_job, item, crashes):
         """Append the count of failed solo runs for the next owner of the shard."""
-        note = batch_record.make_suspect(
+        suspect = batch_record.make_suspect(
             active_job.epoch, active_job.job.id, item, crashes
         )
         try:
-            await active_job.shard.replica.log.append(active_job.shard.stream, [note])
+            await active_job.shard.replica.log.append(
+                active_job.shard.stream, [suspect]
+            )
         except exception.LogError as error:
             # The next owner then starts from a lower count, which is still bounded.
             logger.warning(
--- a/pimentowick/batch/ledger.py
+++ b/pimentowick/batch/ledger.py
@@ -160,9 +160,9 @@
             return
         if not job.items:
             job.end(state.DONE, job.at)
-        self._put_job(job)
+        self._add_job(job)
 
-    def _put_job(self, job):
+    def _add_job(self, job):
         self.jobs[job.id] = job
         self.chunks.setdefault(job.submission, {})
         self._job_submissions.add(job.submission)
@@ -433,7 +433,7 @@
         for first, last in data["failed"]:
             for item in range(first, last + 1):
                 job.outcomes[item] = state.FAILED
-        self._put_job(job)
+        self._add_job(job)
         self.chunks[job.submission] = _load_chunks(data["chunks"])
 
     def _load_results(self, part):
--- a/pimentowick/batch/tests/test_ledger.py
+++ b/pimentowick/batch/tests/test_ledger.py
@@ -11,7 +11,7 @@
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
 JOBS = ["j0", "j1", "j2"]
-BROKEN = [None, -1, 1.5, True, "x", "\ud800", [], {}, float("nan"), 10**30, [[]]]
+MALFORMED = [None, -1, 1.5, True, "x", "\ud800", [], {}, float("nan"), 10**30, [[]]]
 
 numbers = strategies.integers(0, 3)
 jobs = strategies.sampled_from(JOBS)
@@ -67,7 +67,7 @@
 
 @strategies.composite
 def streams(draw):
-    """Generate submissions among other records, with duplicates and broken copies."""
+    """Generate submissions among other records, with duplicates and malformed ones."""
     stream = [batch_record.make_claim(1, "a#1", 0.0)]
     for job in draw(strategies.lists(jobs, max_size=4)):
         stream += submit(job, submission=draw(strategies.sampled_from([None, "s-j1"])))
@@ -77,37 +77,37 @@
         copied = dict(draw(strategies.sampled_from(stream)))
         if draw(strategies.booleans()):
             field = draw(strategies.sampled_from(sorted(copied)))
-            copied[field] = draw(strategies.sampled_from(BROKEN))
+            copied[field] = draw(strategies.sampled_from(MALFORMED))
         stream.insert(draw(strategies.integers(0, len(stream))), copied)
     return stream
 
 
-def fold(stream, ledger=None, first=0):
+def apply_all(stream, ledger=None, first=0):
     ledger = batch_ledger.Ledger() if ledger is None else ledger
     for offset, record in enumerate(stream, first):
         ledger.apply(offset, record)
     return ledger
 
 
-def copy(ledger):
+def reload_ledger(ledger):
     copied = batch_ledger.Ledger()
     copied.load(json.loads(json.dumps(ledger.dump())))
     return copied
 
 
-def get_effect(ledger):
+def dump_without_audit_events(ledger):
     """Return the dump without the audit events, which also list void records."""
     return [part for part in ledger.dump() if "notes" not in part]
 
 
 @SETTINGS
 @hypothesis.given(streams(), strategies.data())
-def test_fold_from_any_dump_equals_fold_from_the_start(stream, data):
+def test_state_from_any_dump_equals_state_from_the_start(stream, data):
     cut = data.draw(strategies.integers(0, len(stream)))
-    resumed = copy(fold(stream[:cut]))
-    fold(stream[cut:], resumed, cut)
-    assert json.dumps(resumed.dump()) == json.dumps(fold(stream).dump())
-    for each in (resumed, fold(stream)):
+    resumed = reload_ledger(apply_all(stream[:cut]))
+    apply_all(stream[cut:], resumed, cut)
+    assert json.dumps(resumed.dump()) == json.dumps(apply_all(stream).dump())
+    for each in (resumed, apply_all(stream)):
         for job in each.jobs.values():
             assert job.pending == job.outcomes.count(state.PENDING)
             assert all(ref is None or ref in each.results for ref in job.refs)
@@ -146,14 +146,14 @@
     """
     stream = [batch_record.make_claim(1, "a#1", 0.0), *submit("j0")]
     stream.append(batch_record.make_claim(2, "b#1", 0.0))
-    before = get_effect(fold(stream))
+    before = dump_without_audit_events(apply_all(stream))
     stale = [
         batch_record.make_results(1, [["j0", 0, "succeeded", {}]], 9.0),
         batch_record.make_release(1),
         batch_record.make_suspect(1, "j0", 1, 2),
         batch_record.make_claim(2, "a#1", 0.0),
     ]
-    assert get_effect(fold(stream + stale)) == before
+    assert dump_without_audit_events(apply_all(stream + stale)) == before
 
 
 def test_broken_row_voids_the_whole_record():
@@ -162,8 +162,10 @@
     The item of the first row must not count as complete without a readable result.
     """
     rows = [["j0", 0, "succeeded", {}], ["j0", 1, "unheard of", {}]]
-    broken = batch_record.make_results(1, rows, 9.0)
-    ledger = fold([batch_record.make_claim(1, "a#1", 0.0), *submit("j0"), broken])
+    malformed = batch_record.make_results(1, rows, 9.0)
+    ledger = apply_all(
+        [batch_record.make_claim(1, "a#1", 0.0), *submit("j0"), malformed]
+    )
     assert ledger.jobs["j0"].pending == 4
     assert ledger.jobs["j0"].refs == [None] * 4
 
@@ -177,13 +179,13 @@
     result = batch_record.make_results(1, [["j0", 0, "succeeded", {}]], 9.0)
     stream = [batch_record.make_claim(1, "a#1", 0.0), *submit("j0"), result]
     stream.append(batch_record.make_claim(2, "b#1", 0.0))
-    state = fold(stream)
+    state = apply_all(stream)
     assert state.list_needed_offsets() == [1, 2, 4]
-    fold([stream[1], stream[2], result], state, 6)
+    apply_all([stream[1], stream[2], result], state, 6)
     assert state.list_needed_offsets() == [6, 7, 8]
     assert state.jobs["j0"].pending == 3
     other = {**stream[1], "id": "other", "items": [{"n": 9}] * 2}
-    fold([other, {**stream[1], "index": 7}], state, 9)
+    apply_all([other, {**stream[1], "index": 7}], state, 9)
     assert state.list_needed_offsets() == [6, 7, 8]
     assert state.count_chunks(state.jobs["j0"]) == 2
 
@@ -198,7 +200,7 @@
     expired = batch_record.make_expired("j0", "first")
     stream += [expired, *submit("j0", 2, "second")]
     stream += [batch_record.make_cancelled("j0", "a", 8.0), expired]
-    ledger = fold(stream)
+    ledger = apply_all(stream)
     assert ledger.jobs["j0"].submission == "second"
     assert list(ledger.chunks) == ["second"]
 
@@ -207,9 +209,9 @@
     empty = batch_record.make_submitted(
         "j0", "s", "a", "k", "d", 0, 0, model=None, at=5.0
     )
-    ledger = fold([empty])
+    ledger = apply_all([empty])
     assert ledger.jobs["j0"].state == "done"
-    assert copy(ledger).dump() == ledger.dump()
+    assert reload_ledger(ledger).dump() == ledger.dump()
 
 
 def make_call(name):
@@ -229,18 +231,20 @@
     long, long_end = make_call("long")
     short = [record for n in range(9) for record in make_call(f"c{n}")]
     stream = [stuck, long, *short, long_end, stuck]
-    ledger = fold(stream)
+    ledger = apply_all(stream)
     assert list(ledger.calls) == ["stuck", "c7", "c8", "long"]
     for cut in range(len(stream)):
-        resumed = copy(fold(stream[:cut]))
-        assert fold(stream[cut:], resumed, cut).dump() == ledger.dump()
+        resumed = reload_ledger(apply_all(stream[:cut]))
+        assert apply_all(stream[cut:], resumed, cut).dump() == ledger.dump()
 
 
 def test_call_that_ended_as_not_run_is_counted_once(monkeypatch):
     monkeypatch.setattr(batch_ledger, "MAX_ENDED_CALLS", 2)
     claimed, ended = make_call("again")
     not_run = {**ended, "verdict": "not_run"}
-    broken = [{**ended, "verdict": []}, {"type": ended["type"], "call": "again"}]
-    ledger = fold([claimed, *broken, *[not_run, claimed] * 5, *make_call("b"), ended])
+    malformed = [{**ended, "verdict": []}, {"type": ended["type"], "call": "again"}]
+    ledger = apply_all(
+        [claimed, *malformed, *[not_run, claimed] * 5, *make_call("b"), ended]
+    )
     assert list(ledger.calls) == ["b", "again"]
     assert ledger.calls["again"].verdict == "ran"
--- a/pimentowick/placement/executor.py
+++ b/pimentowick/placement/executor.py
@@ -64,7 +64,7 @@
         self._settled_at = time.monotonic() + settle_s
         self._current = None
         self._sending = False
-        self._ended = collections.OrderedDict()
+        self._ended_orders = collections.OrderedDict()
         self._last_transfer = None
         self._overrides = {}
         self._supervisor = supervisor.Supervisor("orders")
@@ -110,7 +110,7 @@
         self._update_fence(order.fence)
         if order.action == placement_order.FENCE:
             return self._make_status(placement_order.DONE)
-        ended = self._ended.get(order.id)
+        ended = self._ended_orders.get(order.id)
         if ended is not None and ended[0] != placement_order.UNKNOWN:
             return self._make_status(*ended)
         if self._current is not None:
@@ -193,10 +193,10 @@
         self._current = None
         if state != placement_order.UNKNOWN:
             self.unloading.discard((order.kind, order.name))
-        self._ended[order.id] = (state, error)
-        self._ended.move_to_end(order.id)
-        if len(self._ended) > MAX_ENDED_ORDERS:
-            self._ended.popitem(last=False)
+        self._ended_orders[order.id] = (state, error)
+        self._ended_orders.move_to_end(order.id)
+        if len(self._ended_orders) > MAX_ENDED_ORDERS:
+            self._ended_orders.popitem(last=False)
         if error:
             logger.warning("orders: {} {}: {}", order.action, order.name, error)
 
--- a/pimentowick/placement/placement_controller.py
+++ b/pimentowick/placement/placement_controller.py
@@ -164,9 +164,9 @@
 
     def _is_reading(self):
         # A read held open by the log reports its state from when it began.
-        least = MAX_LAG_READS * placement_claim.READ_WAIT_S
+        max_lag_s = MAX_LAG_READS * placement_claim.READ_WAIT_S
         age = time.monotonic() - self.replica.caught_up_at
-        return age < max(least, self._settings.takeover_s / RENEWALS_PER_TAKEOVER)
+        return age < max(max_lag_s, self._settings.takeover_s / RENEWALS_PER_TAKEOVER)
 
     def _get_claim_delay(self):
         names = {n for n, host in self._fleet.entries.items() if not host.leaving}
@@ -225,13 +225,13 @@
         change its engine, so the plan must not rely on what that engine holds.
         """
         now = time.monotonic()
-        fresh = [
+        unfenced = [
             (peer, peer.report["boot"])
             for peer in peers
             if self._fenced.get(peer.name) != peer.report["boot"]
             and now - self._fence_sent_at.get(peer.name, 0.0) > FENCE_RETRY_S
         ]
-        if not fresh:
+        if not unfenced:
             return
         fence = self._fence
         try:
@@ -243,7 +243,7 @@
         if not confirmed or not self.is_owner or self._claims.fence != fence:
             return
         # Unresponsive agents must not delay the renewal of the claim.
-        chosen = random.sample(fresh, min(MAX_CONCURRENT_FENCES, len(fresh)))
+        chosen = random.sample(unfenced, min(MAX_CONCURRENT_FENCES, len(unfenced)))
         await asyncio.gather(*(self._send_fence(peer, boot) for peer, boot in chosen))
 
     async def _send_fence(self, peer, boot):
--- a/pimentowick/placement/tests/test_claim.py
+++ b/pimentowick/placement/tests/test_claim.py
@@ -3,7 +3,7 @@
 from pimentowick.placement import claim
 
 
-def fold(records, first=0):
+def apply_all(records, first=0):
     claims = claim.ClaimStateMachine()
     for offset, record in enumerate(records[first:], first):
         claims.apply(offset, record)
@@ -11,7 +11,7 @@
 
 
 def test_the_newest_claim_is_in_force():
-    claims = fold([claim.make_claim("a"), claim.make_claim("b")])
+    claims = apply_all([claim.make_claim("a"), claim.make_claim("b")])
     assert (claims.owner, claims.fence) == ("b", 2)
 
 
@@ -19,15 +19,15 @@
     """A controller is suspended, another one claims, and the first one resumes. If its
     renewal took effect, both would send orders."""
     records = [claim.make_claim("a"), claim.make_claim("b"), claim.make_renew("a", 1)]
-    assert fold(records).owner == "b"
+    assert apply_all(records).owner == "b"
 
 
-def test_a_made_up_number_is_void():
+def test_a_forged_fencing_token_is_void():
     """A faulty process writes a renewal with a huge fencing token. If it took effect,
     no valid claim could follow."""
     records = [claim.make_claim("a"), claim.make_renew("x", 10**6)]
     records += [{"type": "renew", "owner": "x", "fence": None}, {"type": "claim"}]
-    assert fold(records).owner == "a"
+    assert apply_all(records).owner == "a"
 
 
 def test_readers_agree_without_the_old_records():
@@ -42,14 +42,16 @@
             records.append(claim.make_claim(owner) if rng.random() < 0.2 else renew)
             claims.apply(offset, records[-1])
         records.append(claim.make_renew(claims.owner, claims.fence))
-        whole = fold(records)
+        whole = apply_all(records)
         for first in range(len(records)):
-            late = fold(records, first)
+            late = apply_all(records, first)
             assert (late.fence, late.owner) == (whole.fence, whole.owner)
 
 
 def test_a_loaded_dump_is_the_same():
-    claims = fold([claim.make_claim("a"), claim.make_release(1), claim.make_claim("b")])
+    claims = apply_all(
+        [claim.make_claim("a"), claim.make_release(1), claim.make_claim("b")]
+    )
     other = claim.ClaimStateMachine()
     other.load(claims.dump())
     assert (other.fence, other.owner, other.owner_offset) == (3, "b", 2)
--- a/pimentowick/placement/tests/test_placement_controller.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -70,7 +70,7 @@
             (order["action"], order["name"]) for order in self.list_orders()
         )
 
-    async def claim_for(self, owner):
+    async def append_claim(self, owner):
         """Append a claim by another owner to the log, and return its fencing token."""
         record = placement_claim.make_claim(owner)
         log = next(iter(self.entries.values())).placement_controller.replica.log
@@ -189,7 +189,7 @@
     async def check(fleet):
         await fleet.place(MODELS)
         _, frozen = await freeze_controller(fleet)
-        fence = await fleet.claim_for("nobody#1")
+        fence = await fleet.append_claim("nobody#1")
         # The new claim's owner never acts, so only the log shows the claim.
         before = count_orders_of(fleet, frozen)
         name = next(iter(fleet.agents))
@@ -229,7 +229,7 @@
     run_placed_fleet(check)
 
 
-def test_a_lost_order_answer_is_repeated_under_the_same_number(run_placed_fleet):
+def test_a_lost_order_answer_is_retried_with_the_same_fence(run_placed_fleet):
     """An engine loads a model and the answer is lost. The order must be retried with
     the same fencing token, and only one replica must be loaded."""
 
@@ -361,7 +361,7 @@
     run_placed_fleet(check, engines=5)
 
 
-def test_a_report_from_before_the_number_was_known_is_not_relied_on(run_placed_fleet):
+def test_a_report_from_before_the_fence_was_known_is_not_relied_on(run_placed_fleet):
     """An agent answers a heartbeat, executes an order of the old controller, and then
     learns the new fencing token. The outdated answer must not count as a replica, or
     the last real one could be unloaded."""
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -101,15 +101,15 @@
             if not self.recovering and page.first > self.offset:
                 self._begin_recovery(page.first)
             if self.recovering:
-                reached = self._scan_page(page)
+                at_head = self._scan_page(page)
             else:
-                reached = self._apply_page(page)
-            if reached:
+                at_head = self._apply_page(page)
+            if at_head:
                 self.ready = True
                 self.caught_up_at = began
         async with self.applied:
             self.applied.notify_all()
-        return reached
+        return at_head
 
     def _apply_page(self, page):
         for offset, record in page.records:
@@ -126,14 +126,14 @@
         if record.get("type") != checkpoint.CHECKPOINT:
             self.state_machine.apply(offset, record)
             return
-        whole = self._assembler.add(record)
-        if whole is not None:
-            self._record_checkpoint(whole)
-
-    def _record_checkpoint(self, found):
-        if found.covers >= self.checkpoint_covers:
-            self.checkpoint_covers = found.covers
-            self._checkpoint_at = found.at
+        complete = self._assembler.add(record)
+        if complete is not None:
+            self._record_checkpoint(complete)
+
+    def _record_checkpoint(self, newest):
+        if newest.covers >= self.checkpoint_covers:
+            self.checkpoint_covers = newest.covers
+            self._checkpoint_at = newest.at
             self._checkpoint_read_at = time.monotonic()
 
     def get_checkpoint_age(self):
@@ -169,16 +169,16 @@
                 continue
             if record.get("type") != checkpoint.CHECKPOINT:
                 continue
-            whole = self._assembler.add(record)
-            if whole is not None and self._install_checkpoint(whole, page.first):
+            complete = self._assembler.add(record)
+            if complete is not None and self._install_checkpoint(complete, page.first):
                 break
         return False
 
-    def _install_checkpoint(self, found, first):
+    def _install_checkpoint(self, newest, first):
         # A checkpoint that ends before the oldest record in the log would leave a gap.
-        if found.covers < first or not self.install_state(found.covers, found.parts):
+        if newest.covers < first or not self.install_state(newest.covers, newest.parts):
             return False
-        self._record_checkpoint(found)
+        self._record_checkpoint(newest)
         return True
 
     def install_state(self, covers, parts):
@@ -215,8 +215,8 @@
         # A long read that began before this call may still be open and does not show
         # the current head, so the head is requested separately.
         head = await self._read_head(deadline)
-        left = max(deadline - time.monotonic(), RETRY_DELAY_S)
-        await self.wait_for(lambda: self.offset >= head, left)
+        remaining_s = max(deadline - time.monotonic(), RETRY_DELAY_S)
+        await self.wait_for(lambda: self.offset >= head, remaining_s)
 
     async def _read_head(self, deadline):
         while True:
@@ -237,18 +237,18 @@
         """
         deadline = time.monotonic() + timeout_s
         while not predicate():
-            left = deadline - time.monotonic()
-            if left <= 0:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
                 raise exception.LogUnavailableError(
                     f"Stream {self.stream} did not show it within {timeout_s:g} s."
                 )
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._read_some()
             except TimeoutError:
                 continue
             except exception.LogUnavailableError:
-                await asyncio.sleep(min(RETRY_DELAY_S, max(left, 0)))
+                await asyncio.sleep(min(RETRY_DELAY_S, max(remaining_s, 0)))
 
     async def _read_some(self):
         # If a long read is open, wait for its result; a second read would only add
@@ -276,12 +276,12 @@
         # timeout, so the search starts at the offset before the append.
         position = self.offset
         first = await self._try_append(records, timeout_s)
-        left = max(deadline - time.monotonic(), RETRY_DELAY_S)
+        remaining_s = max(deadline - time.monotonic(), RETRY_DELAY_S)
         if first is not None:
             last = first + len(records) - 1
-            await self._wait_until_applied(last, left)
+            await self._wait_until_applied(last, remaining_s)
             return first
-        last = await self._find_record(records[-1]["id"], position, left)
+        last = await self._find_record(records[-1]["id"], position, remaining_s)
         return last - len(records) + 1
 
     async def _wait_until_applied(self, offset, timeout_s):
@@ -313,8 +313,8 @@
             for offset, record in page.records:
                 position = offset + 1
                 if isinstance(record, dict) and record.get("id") == record_id:
-                    left = max(deadline - time.monotonic(), RETRY_DELAY_S)
-                    await self._wait_until_applied(offset, left)
+                    remaining_s = max(deadline - time.monotonic(), RETRY_DELAY_S)
+                    await self._wait_until_applied(offset, remaining_s)
                     return offset
         raise exception.LogUnavailableError(
             "It is not known whether the log took an append."
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -12,7 +12,7 @@
 STREAM = "s"
 
 
-class Trace(state_machine.StateMachine):
+class IdRecorder(state_machine.StateMachine):
     """State machine that stores the ids of the applied records in order."""
 
     def __init__(self):
@@ -36,10 +36,10 @@
         async with contextlib.AsyncExitStack() as stack:
 
             async def follow():
-                copy = replica.Replica(log, STREAM, Trace(), lambda: 0.05)
-                await copy.start()
-                stack.push_async_callback(copy.close)
-                return copy
+                follower = replica.Replica(log, STREAM, IdRecorder(), lambda: 0.05)
+                await follower.start()
+                stack.push_async_callback(follower.close)
+                return follower
 
             async with asyncio.timeout(20):
                 await check(log, follow)
@@ -51,8 +51,8 @@
     log.stored.append(STREAM, [{"id": name, "type": "x"} for name in names])
 
 
-async def write_checkpoint(log, copy):
-    for record in await copy.make_checkpoint(4096):
+async def write_checkpoint(log, follower):
+    for record in await follower.make_checkpoint(4096):
         log.stored.append(STREAM, [record])
 
 
@@ -64,19 +64,19 @@
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         taken = log.append
 
         async def append_and_let_read(stream, records):
             try:
                 return await taken(stream, records)
             finally:
-                await copy.wait_for(lambda: copy.offset > 0, 5)
+                await follower.wait_for(lambda: follower.offset > 0, 5)
 
         log.append = append_and_let_read
         log.lose_answers = 1
-        assert await copy.append([{"id": "a", "type": "x"}], 2.0) == 0
-        assert copy.state_machine.ids == ["a"]
+        assert await follower.append([{"id": "a", "type": "x"}], 2.0) == 0
+        assert follower.state_machine.ids == ["a"]
 
     run(check)
 
@@ -88,23 +88,23 @@
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         log.delayed = []
-        waiting = asyncio.create_task(copy.append([{"id": "a", "type": "x"}], 10))
-        await copy.wait_for(lambda: log.delayed, 5)
-        await copy.catch_up(5)
+        waiting = asyncio.create_task(follower.append([{"id": "a", "type": "x"}], 10))
+        await follower.wait_for(lambda: log.delayed, 5)
+        await follower.catch_up(5)
         log.land_delayed()
         assert await waiting == 0
         log.delayed = []
         with pytest.raises(exception.LogUnavailableError):
-            await copy.append([{"id": "b", "type": "x"}], 0.2)
+            await follower.append([{"id": "b", "type": "x"}], 0.2)
         log.land_delayed()
-        await copy.wait_for(lambda: copy.state_machine.ids == ["a", "b"], 5)
+        await follower.wait_for(lambda: follower.state_machine.ids == ["a", "b"], 5)
 
     run(check)
 
 
-def test_copies_agree_over_the_end_of_retention():
+def test_replicas_agree_over_the_end_of_retention():
     """Records pass out of retention while one replica lags and another one is new.
 
     The first checkpoint that they read is too old. They must neither stay without a
@@ -116,7 +116,7 @@
         fill(log, "a", "b")
         await ahead.catch_up(5)
         old = await ahead.make_checkpoint(4096)
-        behind = replica.Replica(log, STREAM, Trace())
+        behind = replica.Replica(log, STREAM, IdRecorder())
         fill(log, "c", "d")
         log.stored.append(STREAM, old)
         await ahead.catch_up(5)
@@ -124,41 +124,41 @@
         fill(log, "e")
         log.stored.truncate(STREAM, 4)
         new = await follow()
-        for copy in (behind, new):
-            await copy.catch_up(5)
-            assert copy.state_machine.ids == ["a", "b", "c", "d", "e"]
-            assert copy.ready and not copy.recovering
+        for follower in (behind, new):
+            await follower.catch_up(5)
+            assert follower.state_machine.ids == ["a", "b", "c", "d", "e"]
+            assert follower.ready and not follower.recovering
         await ahead.catch_up(5)
         assert ahead.state_machine.ids == new.state_machine.ids
 
     run(check)
 
 
-def test_copy_never_goes_back():
+def test_replica_never_goes_back():
     """An old or malformed checkpoint is in the stream or offered by a peer.
 
     Loading it would undo later records, such as the revocation of a token.
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         fill(log, "a")
-        await copy.catch_up(5)
-        old = await copy.make_checkpoint(4096)
+        await follower.catch_up(5)
+        old = await follower.make_checkpoint(4096)
         fill(log, "b", "c")
-        await copy.catch_up(5)
+        await follower.catch_up(5)
         log.stored.append(STREAM, old)
-        await copy.catch_up(5)
-        assert copy.state_machine.ids == ["a", "b", "c"]
-        assert not copy.install_state(1, [{"ids": ["a"]}])
-        assert not copy.install_state(9, None)
+        await follower.catch_up(5)
+        assert follower.state_machine.ids == ["a", "b", "c"]
+        assert not follower.install_state(1, [{"ids": ["a"]}])
+        assert not follower.install_state(9, None)
         # A recovering replica needs a checkpoint up to the oldest record in the log.
         log.stored.truncate(STREAM, 3)
-        new = replica.Replica(log, STREAM, Trace())
+        new = replica.Replica(log, STREAM, IdRecorder())
         await new.read_once()
         await new.read_once()
         assert new.recovering and not new.ready and new.state_machine.ids == []
-        await write_checkpoint(log, copy)
+        await write_checkpoint(log, follower)
         await new.catch_up(5)
         assert new.state_machine.ids == ["a", "b", "c"]
 
@@ -172,13 +172,13 @@
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         log.stored.append(STREAM, [None, [], "x", {"type": "checkpoint"}])
         part = checkpoint.make_checkpoint([{"ids": []}], 9, 1.0, 4096)[0]
-        broken = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
-        log.stored.append(STREAM, [{**part, **fields} for fields in broken])
+        malformed = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
+        log.stored.append(STREAM, [{**part, **fields} for fields in malformed])
         fill(log, "a")
-        await copy.wait_for(lambda: copy.state_machine.ids[-1:] == ["a"], 5)
+        await follower.wait_for(lambda: follower.state_machine.ids[-1:] == ["a"], 5)
 
     run(check)
 
@@ -191,16 +191,16 @@
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         fill(log, "a")
-        await copy.catch_up(5)
+        await follower.catch_up(5)
         log.down = True
-        for attempt in (copy.catch_up(0.2), copy.append([{"type": "x"}], 0.2)):
+        for attempt in (follower.catch_up(0.2), follower.append([{"type": "x"}], 0.2)):
             with pytest.raises(exception.LogUnavailableError):
                 await attempt
         log.down = False
         fill(log, "b")
-        await copy.catch_up(5)
-        assert copy.state_machine.ids == ["a", "b"]
+        await follower.catch_up(5)
+        assert follower.state_machine.ids == ["a", "b"]
 
     run(check)
