--- a/pimentowick/placement/placement_controller.py
+++ b/pimentowick/placement/placement_controller.py
@@ -26,16 +26,21 @@
 """Number of checks by a follower within the takeover timeout."""
 RENEWALS_PER_TAKEOVER = 3
 RANK_DELAY_S = 1.0
+# Number of read timeouts by which the replica may lag and still count as reading.
 MAX_LAG_READS = 3
 ORDER_TIMEOUT_S = 2.0
 ORDER_POLL_S = 0.1
 FAILURE_BACKOFF_S = 2.0
 MAX_CONCURRENT_FENCES = 32
 FENCE_RETRY_S = 1.0
-MAX_MISSED_REPORTS = 4
+# Heartbeat intervals for which the last known models of an engine are remembered.
+MAX_REPORT_INTERVALS = 4
+# Concurrent requests from which a model without configuration counts as in use.
 MIN_DEMAND_IN_USE = 0.5
+# Time between plans, relative to the time that a plan takes.
 PLAN_IDLE_RATIO = 50
 DEMAND_HALF_LIFE_S = 30.0
+# Mean share of an engine's online slots in use for which replicas are planned.
 SLOT_UTILIZATION = 0.5
 
 
@@ -305,7 +310,7 @@
         intervals = {peer.name: peer.interval_s for peer in peers}
         for name, (models, at) in list(self._last_models.items()):
             # The first report after an order may take several heartbeat intervals.
-            reports_s = MAX_MISSED_REPORTS * intervals.get(name, 0.0)
+            reports_s = MAX_REPORT_INTERVALS * intervals.get(name, 0.0)
             if now - at > max(self._settings.takeover_s, reports_s):
                 del self._last_models[name]
             else:
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -65,11 +65,11 @@
 
     async def check(log, follow):
         follower = await follow()
-        taken = log.append
+        append = log.append
 
         async def append_and_let_read(stream, records):
             try:
-                return await taken(stream, records)
+                return await append(stream, records)
             finally:
                 await follower.wait_for(lambda: follower.offset > 0, 5)
 
