--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -164,7 +164,9 @@
             if error is not None
         ]
         if failed:
-            raise exception.UnavailableError(f"Not confirmed: {failed[0]}")
+            raise exception.UnavailableError(
+                f"An agent did not confirm that {job_id} is stopped: {failed[0]}"
+            )
 
     async def _send_stop_job(self, peer, job_id):
         if peer.report.get("kind") != "engine":
