--- a/pimentowick/batch/note.py
+++ b/pimentowick/batch/audit.py
@@ -1,37 +1,42 @@
-"""Notes on what happened to a shard, for the audit trail.
+"""Audit trail of a shard: its claims, releases and job cancellations.
 
-The records of a shard's stream are the trail: who claimed the shard, gave it up or
-cancelled a job stands there anyway. The ledger keeps a note of the newest of them,
-so that a question costs no reading of the stream, and a checkpoint carries the notes
-past the end of retention.
+The records of the shard's stream are the complete trail. The ledger keeps an event
+for each of the latest ones, so that queries need not read the stream, and checkpoints
+preserve the events beyond the log's retention.
 """
 
 import dataclasses
 
-__all__ = ["NOTES_LIMIT", "Note", "note_cancelled", "note_claim", "note_release"]
+__all__ = [
+    "MAX_AUDIT_EVENTS",
+    "AuditEvent",
+    "make_cancellation_event",
+    "make_claim_event",
+    "make_release_event",
+]
 
-NOTES_LIMIT = 500
-"""Notes that one ledger keeps."""
-TEXT_LIMIT = 200
-"""Characters that a note keeps of a text, so that a dump stays bounded."""
+MAX_AUDIT_EVENTS = 500
+"""Number of events that one ledger keeps."""
+MAX_TEXT_CHARS = 200
+"""Characters of a text field that an event keeps, to bound the size of a dump."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
-    """What became of one record.
+class AuditEvent:
+    """Outcome of one audited record.
 
     Attributes:
         offset: Offset of the record.
-        at: Time that it states, in epoch seconds; 0 if it states none.
-        by: Who made it.
-        client: Address that it was asked from; empty for the system's own.
+        at: Time stated by the record, in epoch seconds; 0 if it states none.
+        by: Name of the process or user that made the record.
+        client: Network address of the requester; empty if the system made the record.
         kind: ``claim``, ``release`` or ``cancel``.
         name: Id of the job, or empty.
         workspace: Workspace of the job, or empty.
-        version_before: Epoch before, for claims and releases.
-        version_after: Epoch after, for claims and releases.
+        version_before: Epoch before a claim or release.
+        version_after: Epoch after a claim or release.
         accepted: Whether the record took effect.
-        reason: Why not; empty if accepted.
+        reason: Why it did not take effect; empty if accepted.
         id: Id of the record.
     """
 
@@ -49,10 +54,10 @@
     id: str
 
 
-def note_claim(offset, record, epoch, accepted):
-    """Return the note on a claim that was read while `epoch` was in force."""
+def make_claim_event(offset, record, epoch, accepted):
+    """Return the event of a claim that was read while `epoch` was current."""
     reason = "" if accepted else f"conflict: epoch {epoch} is in force"
-    return Note(
+    return AuditEvent(
         offset=offset,
         at=_get_time(record),
         by=_get_text(record, "owner"),
@@ -68,12 +73,12 @@
     )
 
 
-def note_release(offset, owner, epoch):
-    """Return the note on a release that took effect."""
-    return Note(
+def make_release_event(offset, owner, epoch):
+    """Return the event of a release that took effect."""
+    return AuditEvent(
         offset=offset,
         at=0.0,
-        by=owner[:TEXT_LIMIT],
+        by=owner[:MAX_TEXT_CHARS],
         client="",
         kind="release",
         name="",
@@ -86,10 +91,10 @@
     )
 
 
-def note_cancelled(offset, record, job):
-    """Return the note on a cancellation of `job`, as it was before."""
+def make_cancellation_event(offset, record, job):
+    """Return the event of a cancellation; `job` is the job before it is applied."""
     accepted = job.state == "open"
-    return Note(
+    return AuditEvent(
         offset=offset,
         at=_get_time(record),
         by=_get_text(record, "by"),
@@ -111,4 +116,4 @@
 
 
 def _get_text(record, key):
-    return str(record.get(key, ""))[:TEXT_LIMIT]
+    return str(record.get(key, ""))[:MAX_TEXT_CHARS]
--- a/pimentowick/batch/ledger.py
+++ b/pimentowick/batch/ledger.py
@@ -1,21 +1,21 @@
-"""The state of one shard, folded from its stream.
+"""Replicated state machine of one shard: ownership, jobs and idempotency-key calls.
 
-Whether a record takes effect depends on the records before it alone:
+Whether a record takes effect depends only on the records before it:
 
-- A claim is in force if its epoch is one above the epoch in force. Any later record
-  that carries another epoch than the one in force is void, so an owner that was
-  frozen while another one took over can waste work but can't change anything.
-- The first valid result of an item is the result. A result after the cancellation
-  of its job is void.
-- The first submission under a job's id is the job.
-- The first claim of a call is the right to run it, until it ends as not run.
+- A claim takes effect if its epoch is one above the current epoch. Records of any
+  other than the current epoch are void, so an owner that was suspended during a
+  takeover can waste work but can't change the state.
+- The first valid result of an item counts. A result after the cancellation of its job
+  is void.
+- The first submission under a job's id creates the job.
+- The first claim of a call holds the right to run it, until the call ends as not run.
 
-Bodies stay in the log: the ledger keeps the offsets of the records that hold items
-and results. A record that is appended again under its id, to carry it over the end
-of retention, only moves that offset, whatever epoch it carries.
+Bodies stay in the log: the ledger stores the offsets of the records that hold items
+and results. A record that is relocated, that is, appended again under the same id to
+outlive the log's retention, only updates this offset, whatever its epoch.
 
-A record is checked whole before any of it is applied: one that broke off half-way
-would leave items that count as complete without a result to read.
+A record is validated completely before any of it is applied. A partially applied one
+would leave items complete without a readable result.
 """
 
 import collections
@@ -23,32 +23,32 @@
 import math
 
 from pimentowick import exception
-from pimentowick.batch import note as batch_note
+from pimentowick.batch import audit as batch_audit
 from pimentowick.batch import record as batch_record
 from pimentowick.batch import state
-from pimentowick.replication import fold
+from pimentowick.replication import state_machine
 
 __all__ = ["Ledger"]
 
-MAX_SUBMISSIONS_WITHOUT_JOB = 1000
+MAX_ORPHAN_SUBMISSIONS = 1000
 MAX_ENDED_CALLS = 20_000
-DUMP_ROWS = 2000
-DUMP_CALLS = 500
-DUMP_NOTES = 50
+RESULT_ROWS_PER_PART = 2000
+CALLS_PER_PART = 500
+AUDIT_EVENTS_PER_PART = 50
 
 
-class Ledger(fold.Fold):
-    """Jobs, calls and ownership of one shard.
+class Ledger(state_machine.StateMachine):
+    """Ownership, jobs and calls of one shard.
 
     Attributes:
-        epoch: Epoch in force; 0 while nobody ever owned the shard.
-        owner: Name of the owning entry, or None.
+        epoch: Current epoch; 0 if the shard was never owned.
+        owner: Name of the owning process, or None.
         jobs: `pimentowick.batch.state.Job` by id.
         calls: `pimentowick.batch.state.Call` by id.
-        owner_offset: Offset of the last record that shows the owner alive.
-        fenced: Records read whose epoch was over; no part of the state.
-        notes: `pimentowick.batch.note.Note` of the newest claims, releases and
-            cancellations, oldest first.
+        owner_offset: Offset of the last record that proves the owner alive.
+        fenced: Number of records read with a stale epoch; not part of the state.
+        audit_events: `pimentowick.batch.audit.AuditEvent` objects of the latest claims,
+            releases and cancellations, oldest first.
 
     Examples:
         >>> ledger = Ledger()
@@ -66,35 +66,37 @@
         self.epoch = 0
         self.owner = None
         self.owner_offset = -1
-        self.notes = collections.deque(maxlen=batch_note.NOTES_LIMIT)
+        self.audit_events = collections.deque(maxlen=batch_audit.MAX_AUDIT_EVENTS)
         self.jobs = {}
         self.calls = {}
         self._ended_calls = 0
-        # Chunks by submission and index; offsets of results by record, and how many
-        # items have their result there.
+        # Chunks by submission and index; offsets of result records by record id; and
+        # the number of items whose result is in a record, by record id.
         self.chunks = {}
         self.results = {}
-        self._uses = {}
-        self._used_submissions = set()
+        self._result_item_counts = {}
+        self._job_submissions = set()
 
-    # The handlers, by type of record.
+    # Handlers by record type.
 
     def apply(self, offset, record):
-        """Apply one record; see `pimentowick.replication.fold.Fold.apply`."""
+        """Apply one record; see `StateMachine.apply`."""
         try:
             handle = self._HANDLERS.get(record.get("type"))
             if handle is not None:
                 handle(self, offset, record)
         except (LookupError, TypeError, ValueError, AttributeError, OverflowError):
-            # Anything may be on the stream; what does not have the form of a
-            # record has no effect on any reader.
+            # The stream may contain anything. A malformed record has no effect, on
+            # any replica alike.
             return
 
     def _apply_claim(self, offset, record):
-        epoch = _get(record, "epoch", int)
-        owner = _get(record, "owner", str)
+        epoch = _get_field(record, "epoch", int)
+        owner = _get_field(record, "owner", str)
         accepted = epoch == self.epoch + 1
-        self.notes.append(batch_note.note_claim(offset, record, self.epoch, accepted))
+        self.audit_events.append(
+            batch_audit.make_claim_event(offset, record, self.epoch, accepted)
+        )
         if not accepted:
             return
         self.owner = owner
@@ -102,44 +104,48 @@
         self.owner_offset = offset
 
     def _apply_release(self, offset, record):
-        if self._is_current(record):
-            self.notes.append(batch_note.note_release(offset, self.owner, self.epoch))
+        if self._has_current_epoch(record):
+            self.audit_events.append(
+                batch_audit.make_release_event(offset, self.owner, self.epoch)
+            )
             self.owner = None
             self.owner_offset = offset
 
     def _apply_renew(self, offset, record):
-        if self._is_current(record):
+        if self._has_current_epoch(record):
             self.owner_offset = offset
 
-    def _is_current(self, record):
+    def _has_current_epoch(self, record):
         current = self.owner is not None and record["epoch"] == self.epoch
         if not current:
             self.fenced += 1
         return current
 
     def _apply_chunk(self, offset, record):
-        submission = _get(record, "submission", str)
-        index = _get(record, "index", int)
+        submission = _get_field(record, "submission", str)
+        index = _get_field(record, "index", int)
         chunk = state.Chunk(
-            offset, len(_get(record, "items", list)), _get(record, "id", str)
+            offset,
+            len(_get_field(record, "items", list)),
+            _get_field(record, "id", str),
         )
         known = self.chunks.get(submission, {})
         if index in known:
-            # Appended again it has the same id. Another one would put other items
-            # in the place of those that were accepted.
+            # A relocated chunk has the same id. A chunk with another id would replace
+            # items that were already accepted.
             if known[index].id == chunk.id and known[index].size == chunk.size:
                 known[index] = chunk
             return
-        if submission in self._used_submissions:
+        if submission in self._job_submissions:
             return
         self.chunks.setdefault(submission, {})[index] = chunk
-        orphans = len(self.chunks) - len(self._used_submissions)
-        if orphans > MAX_SUBMISSIONS_WITHOUT_JOB:
+        orphans = len(self.chunks) - len(self._job_submissions)
+        if orphans > MAX_ORPHAN_SUBMISSIONS:
             self._drop_oldest_submission()
 
     def _drop_oldest_submission(self):
         for submission in self.chunks:
-            if submission not in self._used_submissions:
+            if submission not in self._job_submissions:
                 del self.chunks[submission]
                 return
 
@@ -150,42 +156,44 @@
         if not is_whole or (len(chunks), count) != (record["chunks"], record["items"]):
             return
         job = _make_job(record)
-        if job.id in self.jobs or job.submission in self._used_submissions:
+        if job.id in self.jobs or job.submission in self._job_submissions:
             return
         if not job.items:
             job.end(state.DONE, job.at)
-        self._put_job(job)
+        self._add_job(job)
 
-    def _put_job(self, job):
+    def _add_job(self, job):
         self.jobs[job.id] = job
         self.chunks.setdefault(job.submission, {})
-        self._used_submissions.add(job.submission)
+        self._job_submissions.add(job.submission)
 
     def _apply_cancelled(self, offset, record):
         job = self.jobs[record["job"]]
-        by = _get(record, "by", str)
+        by = _get_field(record, "by", str)
         at = _get_time(record, job.at)
-        self.notes.append(batch_note.note_cancelled(offset, record, job))
+        self.audit_events.append(
+            batch_audit.make_cancellation_event(offset, record, job)
+        )
         if job.state == state.OPEN:
             job.end(state.CANCELLED, at)
             job.cancelled_by = by
 
     def _apply_results(self, offset, record):
-        record_id = _get(record, "id", str)
+        record_id = _get_field(record, "id", str)
         if record_id in self.results:
             self.results[record_id] = offset
             return
-        if not self._is_current(record):
+        if not self._has_current_epoch(record):
             return
         rows = _parse_results(record)
         at = _get_time(record, 0.0)
         self.owner_offset = offset
-        uses = sum(self._complete(record_id, at, *row) for row in rows)
-        if uses:
+        completed = sum(self._complete_item(record_id, at, *row) for row in rows)
+        if completed:
             self.results[record_id] = offset
-            self._uses[record_id] = uses
+            self._result_item_counts[record_id] = completed
 
-    def _complete(self, record_id, at, job_id, item, outcome):
+    def _complete_item(self, record_id, at, job_id, item, outcome):
         job = self.jobs.get(job_id)
         if job is None or job.state != state.OPEN or not 0 <= item < job.items:
             return False
@@ -200,31 +208,31 @@
         return True
 
     def _apply_suspect(self, offset, record):
-        if not self._is_current(record):
+        if not self._has_current_epoch(record):
             return
         job = self.jobs[record["job"]]
-        item = _get(record, "item", int)
-        attempts = _get(record, "attempts", int)
+        item = _get_field(record, "item", int)
+        attempts = _get_field(record, "attempts", int)
         self.owner_offset = offset
         if 0 <= item < job.items and job.outcomes[item] == state.PENDING:
             job.suspects[item] = attempts
 
     def _apply_expired(self, offset, record):
         job = self.jobs[record["job"]]
-        # A copy that lands late must not drop a later job of the same key.
+        # A delayed duplicate must not drop a later job with the same key.
         if job.state == state.OPEN or job.submission != record["submission"]:
             return
         del self.jobs[job.id]
         del self.chunks[job.submission]
-        self._used_submissions.discard(job.submission)
+        self._job_submissions.discard(job.submission)
         for ref in job.refs:
             if ref is not None:
-                self._release_result(ref)
+                self._release_result_record(ref)
 
-    def _release_result(self, record_id):
-        self._uses[record_id] -= 1
-        if not self._uses[record_id]:
-            del self._uses[record_id]
+    def _release_result_record(self, record_id):
+        self._result_item_counts[record_id] -= 1
+        if not self._result_item_counts[record_id]:
+            del self._result_item_counts[record_id]
             del self.results[record_id]
 
     def _apply_call_claimed(self, offset, record):
@@ -238,10 +246,10 @@
             digest=record["digest"],
             at=record["at"],
         )
-        self._forget_call(call.id)
+        self._remove_call(call.id)
         self.calls[call.id] = call
 
-    def _forget_call(self, call_id):
+    def _remove_call(self, call_id):
         call = self.calls.pop(call_id, None)
         if call is not None and call.verdict is not None:
             self._ended_calls -= 1
@@ -252,19 +260,19 @@
         if call.request != record["request"] or call.verdict is not None:
             return
         if not isinstance(ended, str):
-            raise TypeError("verdict is no text")
+            raise TypeError("verdict is not a string")
         call.verdict = ended
         call.answer = answer
-        # Moved to the back, so that the ended ones stand in the order of their ends:
-        # a long call would be the first to be dropped at its very end otherwise.
+        # Calls are ordered by their end. Otherwise a long call would be the first to be
+        # dropped as soon as it ends.
         self.calls[call.id] = self.calls.pop(call.id)
         self._ended_calls += 1
         if self._ended_calls > MAX_ENDED_CALLS:
-            self._forget_call(self._find_oldest_ended_call())
+            self._remove_call(self._find_oldest_ended_call())
 
     def _find_oldest_ended_call(self):
-        # Those that run are passed over: dropped, they could run a second time. One
-        # that never ends must not keep all that come after it either.
+        # Running calls are skipped: a dropped one could run a second time. A call that
+        # never ends must not keep later ones from being dropped either.
         return next(call.id for call in self.calls.values() if call.verdict is not None)
 
     _HANDLERS = {
@@ -281,14 +289,14 @@
         batch_record.CALL_ENDED: _apply_call_ended,
     }
 
-    # Questions that owners and callers ask.
+    # Queries.
 
     def list_open_jobs(self):
         """Return the open jobs."""
         return [job for job in self.jobs.values() if job.state == state.OPEN]
 
     def find_chunk(self, job, index):
-        """Return the `pimentowick.batch.state.Chunk` of a job with a number."""
+        """Return a `pimentowick.batch.state.Chunk` of a job by its index."""
         return self.chunks[job.submission][index]
 
     def count_chunks(self, job):
@@ -298,7 +306,7 @@
     def list_needed_offsets(self):
         """Return the sorted offsets of the records whose bodies are still needed.
 
-        These are the results of all jobs, and the items of the open ones.
+        These are the results of all jobs and the items of open jobs.
         """
         offsets = set(self.results.values())
         for job in self.list_open_jobs():
@@ -307,10 +315,10 @@
             )
         return sorted(offsets)
 
-    # Carrying the state forward.
+    # Dumping and loading the state.
 
     def dump(self):
-        """Return the state in parts; see `pimentowick.replication.fold.Fold`."""
+        """Return the state in parts; see `StateMachine.dump`."""
         head = {
             "epoch": self.epoch,
             "owner": self.owner,
@@ -322,18 +330,18 @@
             parts.append({"job": self._dump_job(job)})
             parts.extend(self._dump_results(job))
         calls = [dataclasses.asdict(call) for call in self.calls.values()]
-        for start in range(0, len(calls), DUMP_CALLS):
-            parts.append({"calls": calls[start : start + DUMP_CALLS]})
-        notes = [dataclasses.asdict(note) for note in self.notes]
-        for start in range(0, len(notes), DUMP_NOTES):
-            parts.append({"notes": notes[start : start + DUMP_NOTES]})
+        for start in range(0, len(calls), CALLS_PER_PART):
+            parts.append({"calls": calls[start : start + CALLS_PER_PART]})
+        audit_events = [dataclasses.asdict(event) for event in self.audit_events]
+        for start in range(0, len(audit_events), AUDIT_EVENTS_PER_PART):
+            parts.append({"notes": audit_events[start : start + AUDIT_EVENTS_PER_PART]})
         return parts
 
     def _dump_orphans(self):
         return {
             submission: _dump_chunks(chunks)
             for submission, chunks in self.chunks.items()
-            if submission not in self._used_submissions
+            if submission not in self._job_submissions
         }
 
     def _dump_results(self, job):
@@ -345,8 +353,11 @@
         for ref, items in groups.items():
             for first, last in _make_ranges(items):
                 rows.append([ref, self.results[ref], first, last])
-        for start in range(0, len(rows), DUMP_ROWS):
-            yield {"results_of": job.id, "rows": rows[start : start + DUMP_ROWS]}
+        for start in range(0, len(rows), RESULT_ROWS_PER_PART):
+            yield {
+                "results_of": job.id,
+                "rows": rows[start : start + RESULT_ROWS_PER_PART],
+            }
 
     def _dump_job(self, job):
         return {
@@ -370,17 +381,19 @@
         }
 
     def load(self, parts):
-        """Replace the state by a dumped one; see `Ledger.dump`.
+        """Replace the state by a dump; see `Ledger.dump`.
 
         Raises:
-            ValidationError: If `parts` is not a whole dump; the state then stays.
+            ValidationError: `parts` is malformed; the state is unchanged.
         """
         loaded = Ledger()
         try:
             for part in parts:
                 loaded._load_part(part)
         except (AttributeError, LookupError, TypeError, ValueError) as error:
-            raise exception.ValidationError(f"dump: {error!r}") from error
+            raise exception.ValidationError(
+                f"malformed ledger dump: {error!r}"
+            ) from error
         for job in loaded.jobs.values():
             job.pending = job.outcomes.count(state.PENDING)
         loaded._ended_calls = sum(
@@ -397,7 +410,9 @@
         elif "results_of" in part:
             self._load_results(part)
         elif "notes" in part:
-            self.notes.extend(batch_note.Note(**data) for data in part["notes"])
+            self.audit_events.extend(
+                batch_audit.AuditEvent(**data) for data in part["notes"]
+            )
         else:
             for call in part["calls"]:
                 self.calls[call["id"]] = state.Call(**call)
@@ -418,48 +433,50 @@
         for first, last in data["failed"]:
             for item in range(first, last + 1):
                 job.outcomes[item] = state.FAILED
-        self._put_job(job)
+        self._add_job(job)
         self.chunks[job.submission] = _load_chunks(data["chunks"])
 
     def _load_results(self, part):
         job = self.jobs[part["results_of"]]
         for ref, offset, first, last in part["rows"]:
             self.results[ref] = offset
-            self._uses[ref] = self._uses.get(ref, 0) + last + 1 - first
+            self._result_item_counts[ref] = (
+                self._result_item_counts.get(ref, 0) + last + 1 - first
+            )
             for item in range(first, last + 1):
                 job.refs[item] = ref
                 if job.outcomes[item] == state.PENDING:
                     job.outcomes[item] = state.SUCCEEDED
 
 
-def _get(record, name, kind):
+def _get_field(record, name, kind):
     value = record[name]
     if type(value) is not kind:
-        raise TypeError(f"{name} is no {kind.__name__}")
+        raise TypeError(f"{name} is not of type {kind.__name__}")
     return value
 
 
 def _get_time(record, default):
     value = record.get("at", default)
     if type(value) not in (int, float) or not math.isfinite(value):
-        raise TypeError("at is no time")
+        raise TypeError("at is not a finite number")
     return value
 
 
 def _make_job(record):
-    items = _get(record, "items", int)
+    items = _get_field(record, "items", int)
     deadline = record.get("deadline")
     if deadline is not None and type(deadline) not in (int, float):
-        raise TypeError("deadline is no time")
+        raise TypeError("deadline is not a number")
     model = record.get("model")
     if model is not None and type(model) is not str:
-        raise TypeError("model is no text")
+        raise TypeError("model is not a string")
     return state.Job(
-        id=_get(record, "job", str),
-        submission=_get(record, "submission", str),
-        workspace=_get(record, "workspace", str),
-        key=_get(record, "key", str),
-        digest=_get(record, "digest", str),
+        id=_get_field(record, "job", str),
+        submission=_get_field(record, "submission", str),
+        workspace=_get_field(record, "workspace", str),
+        key=_get_field(record, "key", str),
+        digest=_get_field(record, "digest", str),
         model=model,
         items=items,
         deadline=deadline,
@@ -472,9 +489,9 @@
 
 def _parse_results(record):
     rows = []
-    for job_id, item, outcome, _ in _get(record, "results", list):
+    for job_id, item, outcome, _ in _get_field(record, "results", list):
         if type(job_id) is not str or type(item) is not int:
-            raise TypeError("a result names no item")
+            raise TypeError("result has a malformed job id or item number")
         rows.append((job_id, item, state.OUTCOMES[outcome]))
     return rows
 
@@ -488,7 +505,7 @@
 
 
 def _make_ranges(items):
-    """Return sorted numbers as a list of ``[first, last]``.
+    """Return sorted numbers as a list of inclusive ranges ``[first, last]``.
 
     Examples:
         >>> _make_ranges([1, 2, 3, 7])
--- a/pimentowick/placement/decider.py
+++ b/pimentowick/placement/placement_controller.py
@@ -1,7 +1,7 @@
-"""Decides on the placement and sees to its orders, while its claim is in force.
+"""Controls model placement: plans changes and sends orders while its claim is in force.
 
-Every entry runs one; the log says which of them decides. Nothing of a decision is
-kept but the claim: what is loaded, the engines tell.
+Every entry runs a controller, and the log determines which one is the leader. Apart
+from the claim, no state is stored: the engines report what is loaded.
 """
 
 import asyncio
@@ -19,41 +19,46 @@
 from pimentowick.placement import order as placement_order
 from pimentowick.placement import plan as placement_plan
 
-__all__ = ["Decider"]
+__all__ = ["PlacementController"]
 
-TICK_S = 0.1
-IDLE_TURNS_PER_TAKEOVER = 12
-"""Turns of an entry that doesn't decide in the silence it waits for."""
-RENEWS_PER_TAKEOVER = 3
+CHECK_INTERVAL_S = 0.1
+IDLE_CHECKS_PER_TAKEOVER = 12
+"""Number of checks by a follower within the takeover timeout."""
+RENEWALS_PER_TAKEOVER = 3
 RANK_DELAY_S = 1.0
-FRESH_READS = 3
+# Number of read timeouts by which the replica may lag and still count as reading.
+MAX_LAG_READS = 3
 ORDER_TIMEOUT_S = 2.0
 ORDER_POLL_S = 0.1
-FAILED_PAUSE_S = 2.0
-FENCES_AT_ONCE = 32
-FENCE_PAUSE_S = 1.0
-REPORTS_AWAITED = 4
-IN_USE_DEMAND = 0.5
-PLAN_PAUSES = 50
+FAILURE_BACKOFF_S = 2.0
+MAX_CONCURRENT_FENCES = 32
+FENCE_RETRY_S = 1.0
+# Heartbeat intervals for which the last known models of an engine are remembered.
+MAX_REPORT_INTERVALS = 4
+# Concurrent requests from which a model without configuration counts as in use.
+MIN_DEMAND_IN_USE = 0.5
+# Time between plans, relative to the time that a plan takes.
+PLAN_IDLE_RATIO = 50
 DEMAND_HALF_LIFE_S = 30.0
-PLACES_SHARE = 0.5
+# Mean share of an engine's online slots in use for which replicas are planned.
+SLOT_UTILIZATION = 0.5
 
 
-class Decider:
-    """One entry's part in the placement.
+class PlacementController:
+    """Placement controller of one entry.
 
     Args:
         log: `pimentowick.external.log.Log`.
         fleet: `pimentowick.membership.fleet.Fleet`.
-        client: `pimentowick.client.Client` for orders.
+        client: `pimentowick.client.Client` for orders to agents.
         settings: `pimentowick.settings.EntrySettings`.
-        owner: Name of this process.
+        owner: Name of this process in claims.
         get_fleet: Function that returns the configuration's
             `pimentowick.configuration.document.Fleet`.
 
     Attributes:
-        replica: The `pimentowick.placement.claim.ClaimReplica`.
-        pending: `pimentowick.placement.order.Order` by agent, of those under way.
+        replica: `pimentowick.placement.claim.ClaimReplica` of the claims.
+        pending: `pimentowick.placement.order.Order` in progress, by agent.
     """
 
     def __init__(self, log, fleet, client, settings, owner, get_fleet):
@@ -66,13 +71,13 @@
         self._get_fleet = get_fleet
         self._fence = 0
         self._fenced = {}
-        self._tried_at = {}
-        self._seen = {}
+        self._fence_sent_at = {}
+        self._last_models = {}
         self._ended_at = {}
         self._failed_at = {}
         self._demand = collections.Counter()
         self._decided_at = time.monotonic()
-        self._shown_at = None
+        self._owner_offset = None
         self._silent_s = 0.0
         self._plan_at = 0.0
         self._renewed_at = 0.0
@@ -80,18 +85,18 @@
         self._supervisor = supervisor.Supervisor("placement")
 
     async def start(self):
-        """Begin to follow the claims."""
+        """Start following the claims."""
         await self._supervisor.start()
         await self.replica.start()
-        self._supervisor.start_child("decide", self._run)
+        self._supervisor.start_child("control", self._run)
 
     async def close(self):
-        """Stop deciding; a claim stays in force until another one."""
+        """Stop; the claim stays in force until another entry claims."""
         await self._supervisor.close()
         await self.replica.close()
 
     async def release(self):
-        """Give the claim up, so that another entry needn't wait for silence."""
+        """Release the claim, so that another entry can take over without a timeout."""
         self._releasing = True
         if not self.is_owner:
             return
@@ -99,70 +104,76 @@
         try:
             await self.replica.append([record], self._settings.append_s)
         except exception.LogError as error:
-            logger.warning("placement: The claim is not released. {}", error)
+            logger.warning("placement: claim not released: {}", error)
 
     @property
     def _claims(self):
-        return self.replica.fold
+        return self.replica.state_machine
 
     @property
     def is_owner(self):
-        """Whether the newest claim that was read is that of this process."""
+        """Whether the newest claim that was read belongs to this process."""
         return self._claims.owner == self._owner
 
     async def _run(self):
         while True:
             began = time.monotonic()
-            pause = self._get_pause()
+            pause = self._get_check_interval()
             await asyncio.sleep(pause)
-            # Time in which this process was frozen is not the decider's silence.
+            # Time during which this process was suspended is not the leader's silence.
             elapsed = min(time.monotonic() - began, 2 * pause)
             if self._releasing or not self.replica.ready:
                 continue
             if not self._get_fleet().models:
                 continue
-            await self._keep_claim(elapsed)
+            await self._update_claim(elapsed)
             self._fleet.track_all_agents(self.is_owner)
             if self.is_owner:
                 await self._decide()
 
-    def _get_pause(self):
-        """Return the time until the next turn, in seconds.
+    def _get_check_interval(self):
+        """Return the interval until the next check, in seconds.
 
-        Most entries never decide; turns as short as the decider's would be most of
-        what an idle entry costs.
+        Most entries never become the leader. Checking as often as the leader would
+        dominate the cost of an idle entry.
         """
         if self.is_owner or self._claims.owner is None:
-            return TICK_S if self._get_fleet().models else self._get_idle_pause()
-        return self._get_idle_pause()
+            return (
+                CHECK_INTERVAL_S
+                if self._get_fleet().models
+                else self._get_idle_interval()
+            )
+        return self._get_idle_interval()
 
-    def _get_idle_pause(self):
-        return max(TICK_S, self._settings.takeover_s / IDLE_TURNS_PER_TAKEOVER)
+    def _get_idle_interval(self):
+        return max(
+            CHECK_INTERVAL_S, self._settings.takeover_s / IDLE_CHECKS_PER_TAKEOVER
+        )
 
-    async def _keep_claim(self, elapsed):
+    async def _update_claim(self, elapsed):
         claims = self._claims
-        if claims.shown_at != self._shown_at:
-            self._shown_at = claims.shown_at
+        if claims.owner_offset != self._owner_offset:
+            self._owner_offset = claims.owner_offset
             self._silent_s = 0.0
-        elif self._reads():
+        elif self._is_reading():
             self._silent_s += elapsed
         try:
             if self.is_owner:
                 await self._renew()
-            elif self._silent_s >= self._get_patience():
+            elif self._silent_s >= self._get_claim_delay():
                 self._silent_s = 0.0
                 record = placement_claim.make_claim(self._owner)
                 await self.replica.append([record], self._settings.append_s)
         except exception.LogError as error:
             logger.warning("placement: {}", error)
 
-    def _reads(self):
-        # A read that waits for a record is this old already when it ends.
-        least = FRESH_READS * placement_claim.READ_WAIT_S
-        age = time.monotonic() - self.replica.fresh_at
-        return age < max(least, self._settings.takeover_s / RENEWS_PER_TAKEOVER)
+    def _is_reading(self):
+        # A read held open by the log reports its state from when it began.
+        max_lag_s = MAX_LAG_READS * placement_claim.READ_WAIT_S
+        age = time.monotonic() - self.replica.caught_up_at
+        return age < max(max_lag_s, self._settings.takeover_s / RENEWALS_PER_TAKEOVER)
 
-    def _get_patience(self):
+    def _get_claim_delay(self):
         names = {n for n, host in self._fleet.entries.items() if not host.leaving}
         names.add(self._settings.name)
         order = shard.rank_entries(placement_claim.STREAM, names)
@@ -173,7 +184,7 @@
 
     async def _renew(self):
         now = time.monotonic()
-        if now - self._renewed_at < self._settings.takeover_s / RENEWS_PER_TAKEOVER:
+        if now - self._renewed_at < self._settings.takeover_s / RENEWALS_PER_TAKEOVER:
             return
         self._renewed_at = now
         record = placement_claim.make_renew(self._owner, self._claims.fence)
@@ -182,10 +193,10 @@
     async def _decide(self):
         fence = self._claims.fence
         if fence != self._fence:
-            logger.info("placement: This entry decides, fence {}.", fence)
+            logger.info("placement: this entry is the leader with fence {}", fence)
             self._fence = fence
             self._fenced = {}
-            self._tried_at = {}
+            self._fence_sent_at = {}
         await self._fence_all(self._list_peers())
         if not self.is_owner or self._claims.fence != fence:
             return
@@ -193,17 +204,17 @@
         if began < self._plan_at:
             return
         self._plan()
-        # A plan for a large fleet takes a while, and this loop serves callers, too.
-        self._plan_at = began + PLAN_PAUSES * (time.monotonic() - began)
+        # Planning for a large fleet takes long and blocks the event loop.
+        self._plan_at = began + PLAN_IDLE_RATIO * (time.monotonic() - began)
 
     def _plan(self):
         peers = self._list_peers()
         configuration = self._get_fleet()
-        wanted = self._list_wanted(configuration, peers)
+        desired = self._list_desired_models(configuration, peers)
         engines = self._list_engines(peers)
         loads = configuration.max_loads - len(self.pending)
-        for move in placement_plan.make_plan(wanted, engines, loads):
-            self._begin(move)
+        for change in placement_plan.make_plan(desired, engines, loads):
+            self._start_change(change)
 
     def _list_peers(self):
         return [
@@ -213,35 +224,35 @@
         ]
 
     async def _fence_all(self, peers):
-        """Make the fencing number known to every process of an agent.
+        """Announce the fencing token to every agent process.
 
-        Until an agent knows it, an older decider that wakes up could still change
-        its engine, so the plan must not count on what that engine holds.
+        Until an agent knows the token, an older controller that resumes could still
+        change its engine, so the plan must not rely on what that engine holds.
         """
         now = time.monotonic()
-        fresh = [
+        unfenced = [
             (peer, peer.report["boot"])
             for peer in peers
             if self._fenced.get(peer.name) != peer.report["boot"]
-            and now - self._tried_at.get(peer.name, 0.0) > FENCE_PAUSE_S
+            and now - self._fence_sent_at.get(peer.name, 0.0) > FENCE_RETRY_S
         ]
-        if not fresh:
+        if not unfenced:
             return
         fence = self._fence
         try:
-            # After the boot ids were heard, see `pimentowick.placement.executor`.
-            confirmed = await self.replica.confirm()
+            # After the boot ids were received; see `pimentowick.placement.executor`.
+            confirmed = await self.replica.is_up_to_date()
         except exception.LogError as error:
-            logger.warning("placement: The claim is not confirmed. {}", error)
+            logger.warning("placement: claim not confirmed: {}", error)
             return
         if not confirmed or not self.is_owner or self._claims.fence != fence:
             return
-        # Agents that hang must not keep this task from renewing the claim.
-        chosen = random.sample(fresh, min(FENCES_AT_ONCE, len(fresh)))
+        # Unresponsive agents must not delay the renewal of the claim.
+        chosen = random.sample(unfenced, min(MAX_CONCURRENT_FENCES, len(unfenced)))
         await asyncio.gather(*(self._send_fence(peer, boot) for peer, boot in chosen))
 
     async def _send_fence(self, peer, boot):
-        self._tried_at[peer.name] = time.monotonic()
+        self._fence_sent_at[peer.name] = time.monotonic()
         order = self._make_order(boot, placement_order.FENCE)
         if await self._send(peer, order) is not None:
             self._fenced[peer.name] = boot
@@ -252,7 +263,7 @@
         return placement_order.Order(name, self._fence, boot, action, **fields)
 
     async def _send(self, peer, order):
-        """Return the `pimentowick.placement.order.Status`, or None without one."""
+        """Return the `pimentowick.placement.order.Status`, or None if unanswered."""
         try:
             answer = await self._client.fetch(
                 "POST",
@@ -264,63 +275,65 @@
             if answer.status == 200:
                 return placement_order.Status(**answer.decode())
         except exception.PimentowickError as error:
-            logger.debug("placement: {} did not answer. {}", peer.name, error)
+            logger.debug("placement: {} did not answer: {}", peer.name, error)
             return None
         if answer.status == 409:
             self._fenced.pop(peer.name, None)
         return None
 
     def _is_reliable(self, peer):
-        """Return whether a report tells what only this decider changes."""
+        """Return whether only this controller can change the state in a report."""
         report = peer.report
         return (
             self._fenced.get(peer.name) == report["boot"]
             and report["fence"] == self._fence
             and report["settled"]
-            and peer.heartbeat_sent_at > self._ended_at.get(peer.name, 0.0)
+            and peer.asked_at > self._ended_at.get(peer.name, 0.0)
         )
 
     def _list_engines(self, peers):
-        """Return the engines, and what was at those that can't be relied on now.
+        """Return the engines, including the probable state of unreliable ones.
 
-        An agent that restarts, or that doesn't know the fencing number yet, still
-        has its models; to load them elsewhere at once would only move weights.
+        An agent that restarts, or does not know the fencing token yet, still has its
+        models. Loading them elsewhere at once would only move weights.
         """
         now = time.monotonic()
         engines = []
         for peer in peers:
             if self._is_reliable(peer):
-                engine = self._describe(peer)
-                models = engine.models | {engine.pending} - {None}
-                self._seen[peer.name] = (models, now)
+                engine = self._make_engine_state(peer)
+                models = engine.models | {engine.loading} - {None}
+                self._last_models[peer.name] = (models, now)
                 engines.append(engine)
         known = {engine.agent for engine in engines}
         reported = {peer.name: set(peer.report["models"]) for peer in peers}
-        intervals = {peer.name: peer.heartbeat_interval_s for peer in peers}
-        for name, (models, at) in list(self._seen.items()):
-            # The report after an order is as far away as the next heartbeats.
-            reports_s = REPORTS_AWAITED * intervals.get(name, 0.0)
+        intervals = {peer.name: peer.interval_s for peer in peers}
+        for name, (models, at) in list(self._last_models.items()):
+            # The first report after an order may take several heartbeat intervals.
+            reports_s = MAX_REPORT_INTERVALS * intervals.get(name, 0.0)
             if now - at > max(self._settings.takeover_s, reports_s):
-                del self._seen[name]
+                del self._last_models[name]
             else:
                 reported[name] = reported.get(name, set()) | models
         for name in reported.keys() - known:
-            maybe = reported[name] - self._get_leaving(name)
+            probable_models = reported[name] - self._get_unloading(name)
             engines.append(
-                placement_plan.Engine(name, "", set(), busy=True, maybe=maybe)
+                placement_plan.EngineState(
+                    name, "", set(), busy=True, probable_models=probable_models
+                )
             )
         return engines
 
-    def _get_leaving(self, agent):
+    def _get_unloading(self, agent):
         order = self.pending.get(agent)
         if order is None or order.action != placement_order.UNLOAD:
             return set()
         return {order.name}
 
-    def _describe(self, peer):
+    def _make_engine_state(self, peer):
         report = peer.report
         order = self.pending.get(peer.name)
-        engine = placement_plan.Engine(
+        engine = placement_plan.EngineState(
             peer.name,
             peer.host.failure_domain,
             set(report["models"]),
@@ -330,46 +343,49 @@
         )
         failed_at = self._failed_at.get(peer.name)
         if failed_at is not None:
-            engine.busy = time.monotonic() - failed_at < FAILED_PAUSE_S
+            engine.busy = time.monotonic() - failed_at < FAILURE_BACKOFF_S
         if order is not None:
             engine.busy = True
             if order.kind == placement_plan.MODEL:
-                # It is neither relied on as a replica nor, while it loads, missed.
+                # It does not count as a replica, nor as missing while it loads.
                 engine.models.discard(order.name)
                 loads = order.action == placement_order.LOAD
-                engine.pending = order.name if loads else None
+                engine.loading = order.name if loads else None
         return engine
 
-    def _list_wanted(self, configuration, peers):
+    def _list_desired_models(self, configuration, peers):
         now = time.monotonic()
-        self._note_demand(peers, now - self._decided_at)
+        self._update_demand(peers, now - self._decided_at)
         self._decided_at = now
-        places = [peer.report["max_online"] for peer in peers] or [1]
-        share = PLACES_SHARE * sum(places) / len(places)
-        wanted = [
-            placement_plan.Wanted(
+        slots = [peer.report["max_online"] for peer in peers] or [1]
+        slots_per_replica = SLOT_UTILIZATION * sum(slots) / len(slots)
+        desired = [
+            placement_plan.DesiredModel(
                 name,
                 model.version,
-                placement_plan.count_replicas(
-                    self._demand[name], share, model.replicas_min, model.replicas_max
+                placement_plan.compute_replica_count(
+                    self._demand[name],
+                    slots_per_replica,
+                    model.replicas_min,
+                    model.replicas_max,
                 ),
                 model.adapters,
             )
             for name, model in configuration.models.items()
         ]
-        # What is no longer configured goes when its slot is needed, but not from
-        # under its users.
-        wanted += [
-            placement_plan.Wanted(name, replicas=0)
+        # A model that was removed from the configuration is unloaded when its slot is
+        # needed, but not while it is in use.
+        desired += [
+            placement_plan.DesiredModel(name, replicas=0)
             for name, demand in self._demand.items()
-            if demand >= IN_USE_DEMAND and name not in configuration.models
+            if demand >= MIN_DEMAND_IN_USE and name not in configuration.models
         ]
-        return wanted
+        return desired
 
-    def _note_demand(self, peers, elapsed_s):
-        """Follow the demand up at once, and down slowly.
+    def _update_demand(self, peers, elapsed_s):
+        """Raise the demand estimates at once, and lower them gradually.
 
-        Replicas that came with each burst and went after it would only move weights.
+        Adding and removing replicas with each burst would only move weights.
         """
         demand = collections.Counter()
         for peer in peers:
@@ -378,33 +394,35 @@
         for name in {*demand, *self._demand}:
             self._demand[name] = max(demand[name], self._demand[name] * decay)
 
-    def _begin(self, move):
-        peer = self._fleet.peers[move.agent]
+    def _start_change(self, change):
+        peer = self._fleet.peers[change.agent]
         order = self._make_order(
-            self._fenced[move.agent],
-            move.action,
-            kind=move.kind,
-            name=move.name,
-            version=move.version,
+            self._fenced[change.agent],
+            change.action,
+            kind=change.kind,
+            name=change.name,
+            version=change.version,
+        )
+        logger.info("placement: {}: {} {}.", change.agent, change.action, change.name)
+        self.pending[change.agent] = order
+        self._supervisor.start_child(
+            f"order {change.agent}", self._run_order, peer, order
         )
-        logger.info("placement: {}: {} {}.", move.agent, move.action, move.name)
-        self.pending[move.agent] = order
-        self._supervisor.start_child(f"order {move.agent}", self._see_to, peer, order)
 
-    async def _see_to(self, peer, order):
-        """Repeat an order until the agent says how it ended."""
+    async def _run_order(self, peer, order):
+        """Retry an order until the agent reports its end."""
         try:
             while self._is_current(peer, order):
                 status = await self._send(peer, order)
-                if status is not None and self._is_ended(peer, order, status):
+                if status is not None and self._has_ended(peer, order, status):
                     break
                 await asyncio.sleep(ORDER_POLL_S)
         finally:
             if self.pending.get(peer.name) is order:
                 del self.pending[peer.name]
             self._ended_at[peer.name] = time.monotonic()
-            # Until the next report nothing counts on this engine, and agents of an
-            # idle service are asked seldom.
+            # The engine's state is not relied on until its next report, and agents of
+            # an idle service are polled rarely.
             peer.wake.set()
 
     def _is_current(self, peer, order):
@@ -415,11 +433,14 @@
             and self._fleet.peers.get(peer.name) is peer
         )
 
-    def _is_ended(self, peer, order, status):
+    def _has_ended(self, peer, order, status):
         if status.state == placement_order.FAILED:
             self._failed_at[peer.name] = time.monotonic()
             logger.warning(
-                "placement: {}: {} failed. {}", peer.name, order.name, status.error
+                "placement: {}: order for {} failed: {}",
+                peer.name,
+                order.name,
+                status.error,
             )
         return status.state in (
             placement_order.DONE,
--- a/pimentowick/placement/tests/test_decider.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -14,8 +14,8 @@
 }
 
 
-class Placed(embedded.Embedded):
-    """An embedded deployment with a weight store and placed models."""
+class PlacedFleet(embedded.Embedded):
+    """An embedded deployment with a weight store and configured models."""
 
     def __init__(self, max_models=2, **fields):
         self.store = weights.WeightStore(
@@ -43,11 +43,14 @@
         body = {"models": models, **fields}
         return await self.change("fleet", "fleet", amends, body)
 
-    def find_decider(self):
-        """Return the name of the entry that gives orders, or None."""
+    def find_controller(self):
+        """Return the name of the entry whose controller is active, or None."""
         for name, entry in self.entries.items():
-            decider = entry.decider
-            if decider.is_owner and decider._fence == decider.replica.fold.fence:
+            controller = entry.placement_controller
+            if (
+                controller.is_owner
+                and controller._fence == controller.replica.state_machine.fence
+            ):
                 return name
         return None
 
@@ -55,7 +58,9 @@
         return sum(model in each.loaded["model"] for each in self.targets.values())
 
     def is_settled(self):
-        return not any(entry.decider.pending for entry in self.entries.values())
+        return not any(
+            entry.placement_controller.pending for entry in self.entries.values()
+        )
 
     def list_orders(self):
         return [order for each in self.targets.values() for order in each.orders]
@@ -65,18 +70,18 @@
             (order["action"], order["name"]) for order in self.list_orders()
         )
 
-    async def claim_for(self, owner):
-        """Let the log show a claim of somebody else, and return its number."""
+    async def append_claim(self, owner):
+        """Append a claim by another owner to the log, and return its fencing token."""
         record = placement_claim.make_claim(owner)
-        log = next(iter(self.entries.values())).decider.replica.log
+        log = next(iter(self.entries.values())).placement_controller.replica.log
         return 1 + await log.append(placement_claim.STREAM, [record])
 
 
 @pytest.fixture
-def run_placed():
+def run_placed_fleet():
     def run(check, **fields):
         async def start_and_check():
-            fleet = Placed(**fields)
+            fleet = PlacedFleet(**fields)
             try:
                 await fleet.start()
                 await check(fleet)
@@ -88,21 +93,21 @@
     return run
 
 
-async def freeze_decider(fleet):
-    """Stop the reads of the decider, so that it goes on believing in its claim."""
+async def freeze_controller(fleet):
+    """Stop the reads of the active controller, so that it doesn't see later claims."""
     await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
     await fleet.wait_for(fleet.is_settled)
-    name = fleet.find_decider()
-    decider = fleet.entries[name].decider
-    decider.replica._supervisor.stop_child("follow")
-    return name, decider
+    name = fleet.find_controller()
+    controller = fleet.entries[name].placement_controller
+    controller.replica._supervisor.stop_child("follow")
+    return name, controller
 
 
-def count_orders_of(fleet, decider):
-    return sum(order["fence"] == decider._fence for order in fleet.list_orders())
+def count_orders_of(fleet, controller):
+    return sum(order["fence"] == controller._fence for order in fleet.list_orders())
 
 
-def test_a_configured_model_is_loaded_and_found(run_placed):
+def test_a_configured_model_is_loaded_and_found(run_placed_fleet):
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
@@ -111,29 +116,30 @@
         assert fleet.count_orders() == {("load", NEW): 1}
         assert fleet.count_ready(embedded.MODEL) == 2
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_nothing_is_ordered_without_a_configuration(run_placed):
+def test_nothing_is_ordered_without_a_configuration(run_placed_fleet):
     async def check(fleet):
         await fleet.chat("hello")
         assert fleet.list_orders() == []
-        assert not any(entry.decider.is_owner for entry in fleet.entries.values())
+        assert not any(
+            entry.placement_controller.is_owner for entry in fleet.entries.values()
+        )
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_decider_that_is_killed_in_mid_change_is_replaced(run_placed):
-    """The entry that decides is lost while an engine waits for weights. The model
-    that the operator asked for must still come, once, and no user may miss the one
-    that is there."""
+def test_a_controller_that_is_killed_during_a_change_is_replaced(run_placed_fleet):
+    """The leading entry crashes while an engine waits for weights. The new model must
+    still be loaded, exactly once, and the other model must stay available."""
 
     async def check(fleet):
         fleet.store.bytes_per_s = 1.0
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
-        await fleet.crash(fleet.find_decider())
-        # The transfer under way still has its old rate; the next decider ends it.
+        await fleet.crash(fleet.find_controller())
+        # The transfer in progress keeps its rate; the next controller cancels it.
         fleet.store.bytes_per_s = 1e6
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
@@ -141,20 +147,20 @@
         assert fleet.store.transfers == 2
         assert fleet.count_ready(embedded.MODEL) == 2
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
 @pytest.mark.parametrize("check_fence", [True, False])
-def test_a_frozen_decider_orders_nothing_after_another_took_over(
-    run_placed, check_fence
+def test_a_frozen_controller_orders_nothing_after_a_takeover(
+    run_placed_fleet, check_fence
 ):
-    """The entry that decides is frozen with orders in its hands, another one claims,
-    and the first wakes up. What it still sends must reach no engine, whether the
-    engine checks fencing numbers or not."""
+    """The leader is suspended with pending orders, another entry claims, and the first
+    one resumes. Its orders must reach no engine, whether the engine checks fencing
+    tokens or not."""
 
     async def check(fleet):
         await fleet.place(MODELS)
-        first, frozen = await freeze_decider(fleet)
+        first, frozen = await freeze_controller(fleet)
         fence = frozen._fence
         other = next(name for name in fleet.entries if name != first)
         claim = placement_claim.make_claim(fleet.entries[other].owner)
@@ -173,18 +179,18 @@
                 assert await frozen._send(peer, order) is None
         assert count_orders_of(fleet, frozen) == before
 
-    run_placed(check, engine_settings={"check_fence": check_fence})
+    run_placed_fleet(check, engine_settings={"check_fence": check_fence})
 
 
-def test_a_frozen_decider_can_not_use_an_agent_that_was_started_again(run_placed):
-    """As before, and the agents are started again meanwhile, so none remembers the
-    number. The frozen decider must not win over them by asking for their ids."""
+def test_a_frozen_controller_can_not_use_a_restarted_agent(run_placed_fleet):
+    """As above, but the agents restart and forget the fencing token. The suspended
+    controller must not gain control of them by learning their new boot ids."""
 
     async def check(fleet):
         await fleet.place(MODELS)
-        _, frozen = await freeze_decider(fleet)
-        fence = await fleet.claim_for("nobody#1")
-        # The claim of somebody who never acts: only the log knows of it.
+        _, frozen = await freeze_controller(fleet)
+        fence = await fleet.append_claim("nobody#1")
+        # The new claim's owner never acts, so only the log shows the claim.
         before = count_orders_of(fleet, frozen)
         name = next(iter(fleet.agents))
         await fleet.crash(name)
@@ -196,18 +202,18 @@
         await fleet.wait_for(
             lambda: peers[name].report.get("boot") == agent.orders.boot
         )
-        frozen._tried_at.clear()
+        frozen._fence_sent_at.clear()
         await frozen._fence_all([peers[name]])
         assert frozen.is_owner and frozen._fenced[name] != agent.orders.boot
         assert agent.orders.fence == 0 or agent.orders.fence >= fence
         assert count_orders_of(fleet, frozen) == before
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_an_agent_that_is_started_again_is_not_loaded_again(run_placed):
-    """An agent is replaced while its engine goes on. To load its models elsewhere,
-    or again, would take the store's rate from what users wait for."""
+def test_an_agent_that_is_started_again_is_not_loaded_again(run_placed_fleet):
+    """An agent restarts while its engine keeps running. Loading its models again, or
+    elsewhere, would take bandwidth of the weight store from other loads."""
 
     async def check(fleet):
         await fleet.place(MODELS)
@@ -220,12 +226,12 @@
         await fleet.wait_for(lambda: agent.orders.fence > 0)
         assert fleet.count_orders() == {("load", NEW): 1}
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_lost_order_answer_is_repeated_under_the_same_number(run_placed):
-    """An engine loads a model and its answer is lost. The order is repeated with the
-    same number, and the operator sees one replica, not two."""
+def test_a_lost_order_answer_is_retried_with_the_same_fence(run_placed_fleet):
+    """An engine loads a model and the answer is lost. The order must be retried with
+    the same fencing token, and only one replica must be loaded."""
 
     async def check(fleet):
         for target in fleet.targets.values():
@@ -237,30 +243,32 @@
         assert len({order["fence"] for order in fleet.list_orders()}) == 1
         assert fleet.store.transfers == 1
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_weight_store_that_is_down_takes_nothing_away(run_placed):
-    """The weight store is down when the operator asks for another model. What is
-    loaded stays, and the model comes once the store is back."""
+def test_a_weight_store_that_is_down_takes_nothing_away(run_placed_fleet):
+    """The weight store is down when a new model is configured. Loaded models must stay,
+    and the new one must be loaded once the store is back."""
 
     async def check(fleet):
         fleet.store.board.place(faults.Order("down"))
         await fleet.place(MODELS)
         await fleet.wait_for(
-            lambda: any(e.decider._failed_at for e in fleet.entries.values())
+            lambda: any(
+                e.placement_controller._failed_at for e in fleet.entries.values()
+            )
         )
         assert fleet.list_orders() == []
         assert (await fleet.chat("hello")).status == 200
         fleet.store.board.place(faults.Order("clear"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_model_is_never_without_a_replica_while_others_come(run_placed):
-    """Engines hold one model each and the operator asks for a second one. Requests
-    for the first are sent all the time; none may find it gone."""
+def test_a_model_is_never_without_a_replica_while_others_come(run_placed_fleet):
+    """Engines hold one model each, and a second model is configured. No request for the
+    first one may be refused meanwhile."""
 
     async def check(fleet):
         statuses = collections.Counter()
@@ -279,12 +287,12 @@
         assert fleet.count_ready(embedded.MODEL) >= 1
         assert set(statuses) == {200}
 
-    run_placed(check, max_models=1, engines=3)
+    run_placed_fleet(check, max_models=1, engines=3)
 
 
-def test_loads_are_paced_by_the_configuration(run_placed):
-    """Every engine is to load a model at once. If all transfers ran together, the
-    weight store would serve each so slowly that no user got the model for long."""
+def test_loads_are_paced_by_the_configuration(run_placed_fleet):
+    """All engines are to load a model. Without a limit on concurrent transfers, the
+    weight store's bandwidth would be shared and every load would be slow."""
 
     async def check(fleet):
         fleet.store.bytes_per_s = 2000.0
@@ -301,69 +309,79 @@
         assert 1 <= peak <= 2
         assert fleet.store.transfers == 5
 
-    run_placed(check, engines=5)
+    run_placed_fleet(check, engines=5)
 
 
-def test_a_log_outage_stops_no_order_under_way(run_placed):
-    """The log is down when the decider needs it not. A load that was decided on must
-    still end, and no other entry may think itself the decider."""
+def test_a_log_outage_stops_no_order_under_way(run_placed_fleet):
+    """The log is down while a load is in progress. The load must finish, and no other
+    entry may act as the leader."""
 
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
         fleet.log.board.place(faults.Order("down"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
-        owners = [e for e in fleet.entries.values() if e.decider.is_owner]
+        owners = [e for e in fleet.entries.values() if e.placement_controller.is_owner]
         assert len(owners) == 1
         fleet.log.board.place(faults.Order("clear"))
 
-    run_placed(check)
+    run_placed_fleet(check)
 
 
-def test_a_new_decider_moves_nothing_that_is_in_place(run_placed):
-    """The entry that decides is lost with nothing to do. The next one hears of the
-    engines one by one; if it took the first ones for all, it would load again what
-    the others hold, and take room from what users need."""
+def test_a_new_controller_moves_nothing_that_is_in_place(run_placed_fleet):
+    """The leader crashes with no change pending, and the next one receives the engines'
+    reports one by one. It must not load models again that are on engines whose reports
+    are still missing."""
 
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
-        await fleet.crash(fleet.find_decider())
-        await fleet.wait_for(fleet.find_decider)
-        decider = fleet.entries[fleet.find_decider()].decider
+        await fleet.crash(fleet.find_controller())
+        await fleet.wait_for(fleet.find_controller)
+        controller = fleet.entries[fleet.find_controller()].placement_controller
         await fleet.wait_for(
-            lambda: all(map(decider._is_reliable, decider._list_peers()))
+            lambda: all(
+                map(
+                    controller._is_reliable,
+                    controller._list_peers(),
+                )
+            )
         )
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
-        # The engine that holds the model is heard of last.
-        peers = decider._list_peers()
+        # The report of the engine that holds the model arrives last.
+        peers = controller._list_peers()
         holder = next(peer for peer in peers if NEW in peer.report["models"])
         holder.report = {**holder.report, "fence": 0}
-        engines = decider._list_engines(peers)
-        wanted = decider._list_wanted(decider._get_fleet(), peers)
-        assert plan.make_plan(wanted, engines, 2) == []
+        engines = controller._list_engines(peers)
+        desired = controller._list_desired_models(controller._get_fleet(), peers)
+        assert plan.make_plan(desired, engines, 2) == []
 
-    run_placed(check, engines=5)
+    run_placed_fleet(check, engines=5)
 
 
-def test_a_report_from_before_the_number_was_known_is_not_relied_on(run_placed):
-    """An agent answers a heartbeat, then carries out an order of the old decider, and
-    then hears of the new one. That answer must not count as a replica: the other one
-    would go, and users would find none."""
+def test_a_report_from_before_the_fence_was_known_is_not_relied_on(run_placed_fleet):
+    """An agent answers a heartbeat, executes an order of the old controller, and then
+    learns the new fencing token. The outdated answer must not count as a replica, or
+    the last real one could be unloaded."""
 
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
-        decider = fleet.entries[fleet.find_decider()].decider
+        controller = fleet.entries[fleet.find_controller()].placement_controller
         await fleet.wait_for(
-            lambda: all(map(decider._is_reliable, decider._list_peers()))
+            lambda: all(
+                map(
+                    controller._is_reliable,
+                    controller._list_peers(),
+                )
+            )
         )
-        peer = decider._list_peers()[0]
-        peer.report = {**peer.report, "fence": decider._fence - 1}
-        assert not decider._is_reliable(peer)
-        engines = decider._list_engines([peer])
+        peer = controller._list_peers()[0]
+        peer.report = {**peer.report, "fence": controller._fence - 1}
+        assert not controller._is_reliable(peer)
+        engines = controller._list_engines([peer])
         assert all(not engine.models and engine.busy for engine in engines)
 
-    run_placed(check)
+    run_placed_fleet(check)
--- a/pimentowick/replication/tests/memory.py
+++ b/pimentowick/replication/tests/memory.py
@@ -1,4 +1,4 @@
-"""A log within the process, whose answers and effects a test can hold back."""
+"""An in-process log that can lose or delay appends and their answers."""
 
 import asyncio
 import json
@@ -13,28 +13,28 @@
 
 
 class MemoryLog(external_log.Log):
-    """The stand-in log without a socket.
+    """The fake log without a network connection.
 
     Attributes:
-        kept: The `pimentowick.fakes.log.Log` that holds the streams.
-        down: Whether nothing gets an answer.
-        lose_answers: Number of appends that take effect without an answer.
-        late: Appends that got no answer and have not landed, while it is a list.
+        stored: The `pimentowick.fakes.log.Log` that holds the streams.
+        down: Whether all requests fail.
+        lose_answers: Number of further appends that take effect without an answer.
+        delayed: If a list, appends fail and are stored in it until `land_delayed`.
     """
 
     def __init__(self, **settings):
-        self.kept = fake_log.Log(**settings)
+        self.stored = fake_log.Log(**settings)
         self.down = False
         self.lose_answers = 0
-        self.late = None
+        self.delayed = None
 
     async def append(self, stream, records):
         self._check()
-        if self.late is not None:
-            self.late.append((stream, records))
+        if self.delayed is not None:
+            self.delayed.append((stream, records))
             raise exception.LogUnavailableError("no answer")
         try:
-            first, _ = self.kept.append(stream, records)
+            first, _ = self.stored.append(stream, records)
         except fake_log.RateError as error:
             raise exception.LogFullError(str(error)) from error
         if self.lose_answers:
@@ -44,23 +44,23 @@
 
     async def read(self, stream, offset, limit=500, wait_s=0.0):
         self._check()
-        # A read over a socket always lets other tasks run. The wait of the stand-in
-        # may lose a cancellation, which nobody notices who is behind a socket.
+        # A read over a socket always yields to other tasks. The wait of the fake log
+        # may swallow a cancellation, which has no effect behind a socket.
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
-        while self.kept.measure(stream)[1] <= offset and loop.time() < until:
+        while self.stored.measure(stream)[1] <= offset and loop.time() < until:
             await asyncio.sleep(POLL_S)
         self._check()
-        rows = self.kept.read(stream, offset, limit)
+        rows = self.stored.read(stream, offset, limit)
         records = [(at, json.loads(text)) for at, text in rows]
-        return external_log.Page(records, *self.kept.measure(stream))
+        return external_log.Page(records, *self.stored.measure(stream))
 
-    def land_late(self):
-        """Let the held appends take effect."""
-        late, self.late = self.late, None
-        for stream, records in late:
-            self.kept.append(stream, records)
+    def land_delayed(self):
+        """Let the delayed appends take effect."""
+        delayed, self.delayed = self.delayed, None
+        for stream, records in delayed:
+            self.stored.append(stream, records)
 
     def _check(self):
         if self.down:
--- a/pimentowick/replication/tests/test_replica.py
+++ b/pimentowick/replication/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Copies of a stream through lost answers, outages and the end of retention."""
+"""Replicas through lost answers, outages and the end of the log's retention."""
 
 import asyncio
 import contextlib
@@ -6,14 +6,14 @@
 import pytest
 
 from pimentowick import exception
-from pimentowick.replication import checkpoint, fold, replica
+from pimentowick.replication import checkpoint, replica, state_machine
 from pimentowick.replication.tests import memory
 
 STREAM = "s"
 
 
-class Trace(fold.Fold):
-    """Keeps the ids that it applied, in their order."""
+class IdRecorder(state_machine.StateMachine):
+    """State machine that stores the ids of the applied records in order."""
 
     def __init__(self):
         self.ids = []
@@ -36,10 +36,10 @@
         async with contextlib.AsyncExitStack() as stack:
 
             async def follow():
-                copy = replica.Replica(log, STREAM, Trace(), lambda: 0.05)
-                await copy.start()
-                stack.push_async_callback(copy.close)
-                return copy
+                follower = replica.Replica(log, STREAM, IdRecorder(), lambda: 0.05)
+                await follower.start()
+                stack.push_async_callback(follower.close)
+                return follower
 
             async with asyncio.timeout(20):
                 await check(log, follow)
@@ -48,68 +48,67 @@
 
 
 def fill(log, *names):
-    log.kept.append(STREAM, [{"id": name, "type": "x"} for name in names])
+    log.stored.append(STREAM, [{"id": name, "type": "x"} for name in names])
 
 
-async def write_checkpoint(log, copy):
-    for record in await copy.make_checkpoint(4096):
-        log.kept.append(STREAM, [record])
+async def write_checkpoint(log, follower):
+    for record in await follower.make_checkpoint(4096):
+        log.stored.append(STREAM, [record])
 
 
 def test_lost_answer_of_an_append_is_settled():
-    """The log takes an append and its answer is lost; the follower reads it first.
+    """The answer of an append is lost, and the replica reads the record first.
 
-    The search for it began where the follower stood and so behind the record: the
-    caller was told that nothing is known of a job that was safe.
+    If the search started at the replica's current offset, it would miss the record and
+    report the outcome as unknown.
     """
 
     async def check(log, follow):
-        copy = await follow()
-        taken = log.append
+        follower = await follow()
+        append = log.append
 
         async def append_and_let_read(stream, records):
             try:
-                return await taken(stream, records)
+                return await append(stream, records)
             finally:
-                await copy.wait_for(lambda: copy.offset > 0, 5)
+                await follower.wait_for(lambda: follower.offset > 0, 5)
 
         log.append = append_and_let_read
         log.lose_answers = 1
-        assert await copy.append([{"id": "a", "type": "x"}], 2.0) == 0
-        assert copy.fold.ids == ["a"]
+        assert await follower.append([{"id": "a", "type": "x"}], 2.0) == 0
+        assert follower.state_machine.ids == ["a"]
 
     run(check)
 
 
 def test_append_that_lands_late_is_found_or_reported_as_unknown():
-    """An append gets no answer, the head shows nothing, and the record lands later.
+    """An append is not answered, and its record lands after a read of the head.
 
-    To call that a failure would be untrue: the job runs though its user was told
-    that it does not.
+    Reporting it as failed would be wrong, because the record takes effect.
     """
 
     async def check(log, follow):
-        copy = await follow()
-        log.late = []
-        waiting = asyncio.create_task(copy.append([{"id": "a", "type": "x"}], 10))
-        await copy.wait_for(lambda: log.late, 5)
-        await copy.catch_up(5)
-        log.land_late()
+        follower = await follow()
+        log.delayed = []
+        waiting = asyncio.create_task(follower.append([{"id": "a", "type": "x"}], 10))
+        await follower.wait_for(lambda: log.delayed, 5)
+        await follower.catch_up(5)
+        log.land_delayed()
         assert await waiting == 0
-        log.late = []
+        log.delayed = []
         with pytest.raises(exception.LogUnavailableError):
-            await copy.append([{"id": "b", "type": "x"}], 0.2)
-        log.land_late()
-        await copy.wait_for(lambda: copy.fold.ids == ["a", "b"], 5)
+            await follower.append([{"id": "b", "type": "x"}], 0.2)
+        log.land_delayed()
+        await follower.wait_for(lambda: follower.state_machine.ids == ["a", "b"], 5)
 
     run(check)
 
 
-def test_copies_agree_over_the_end_of_retention():
-    """Records pass out of retention while one reader is behind and one is new, and
-    the first checkpoint that they find is too old.
+def test_replicas_agree_over_the_end_of_retention():
+    """Records pass out of retention while one replica lags and another one is new.
 
-    Without a checkpoint they would stay without a state, or take one with a gap.
+    The first checkpoint that they read is too old. They must neither stay without a
+    state nor load one with a gap.
     """
 
     async def check(log, follow):
@@ -117,91 +116,91 @@
         fill(log, "a", "b")
         await ahead.catch_up(5)
         old = await ahead.make_checkpoint(4096)
-        behind = replica.Replica(log, STREAM, Trace())
+        behind = replica.Replica(log, STREAM, IdRecorder())
         fill(log, "c", "d")
-        log.kept.append(STREAM, old)
+        log.stored.append(STREAM, old)
         await ahead.catch_up(5)
         await write_checkpoint(log, ahead)
         fill(log, "e")
-        log.kept.truncate(STREAM, 4)
+        log.stored.truncate(STREAM, 4)
         new = await follow()
-        for copy in (behind, new):
-            await copy.catch_up(5)
-            assert copy.fold.ids == ["a", "b", "c", "d", "e"]
-            assert copy.ready and not copy.recovering
+        for follower in (behind, new):
+            await follower.catch_up(5)
+            assert follower.state_machine.ids == ["a", "b", "c", "d", "e"]
+            assert follower.ready and not follower.recovering
         await ahead.catch_up(5)
-        assert ahead.fold.ids == new.fold.ids
+        assert ahead.state_machine.ids == new.state_machine.ids
 
     run(check)
 
 
-def test_copy_never_goes_back():
-    """An old or broken checkpoint is found in the stream or offered by a peer.
+def test_replica_never_goes_back():
+    """An old or malformed checkpoint is in the stream or offered by a peer.
 
-    Taking it would undo what was in force, such as a token that was withdrawn.
+    Loading it would undo later records, such as the revocation of a token.
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         fill(log, "a")
-        await copy.catch_up(5)
-        old = await copy.make_checkpoint(4096)
+        await follower.catch_up(5)
+        old = await follower.make_checkpoint(4096)
         fill(log, "b", "c")
-        await copy.catch_up(5)
-        log.kept.append(STREAM, old)
-        await copy.catch_up(5)
-        assert copy.fold.ids == ["a", "b", "c"]
-        assert not copy.adopt(1, [{"ids": ["a"]}])
-        assert not copy.adopt(9, None)
-        # A reader that lost records needs one that covers up to what is kept.
-        log.kept.truncate(STREAM, 3)
-        new = replica.Replica(log, STREAM, Trace())
+        await follower.catch_up(5)
+        log.stored.append(STREAM, old)
+        await follower.catch_up(5)
+        assert follower.state_machine.ids == ["a", "b", "c"]
+        assert not follower.install_state(1, [{"ids": ["a"]}])
+        assert not follower.install_state(9, None)
+        # A recovering replica needs a checkpoint up to the oldest record in the log.
+        log.stored.truncate(STREAM, 3)
+        new = replica.Replica(log, STREAM, IdRecorder())
         await new.read_once()
         await new.read_once()
-        assert new.recovering and not new.ready and new.fold.ids == []
-        await write_checkpoint(log, copy)
+        assert new.recovering and not new.ready and new.state_machine.ids == []
+        await write_checkpoint(log, follower)
         await new.catch_up(5)
-        assert new.fold.ids == ["a", "b", "c"]
+        assert new.state_machine.ids == ["a", "b", "c"]
 
     run(check)
 
 
 def test_broken_records_stop_no_reader():
-    """Somebody writes what is no record, or half a checkpoint.
+    """The stream contains malformed records and incomplete checkpoints.
 
-    A reader that fails on it would stand still, and with it all that it serves.
+    A replica that fails on one would stop applying records.
     """
 
     async def check(log, follow):
-        copy = await follow()
-        log.kept.append(STREAM, [None, [], "x", {"type": "checkpoint"}])
+        follower = await follow()
+        log.stored.append(STREAM, [None, [], "x", {"type": "checkpoint"}])
         part = checkpoint.make_checkpoint([{"ids": []}], 9, 1.0, 4096)[0]
-        broken = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
-        log.kept.append(STREAM, [{**part, **fields} for fields in broken])
+        malformed = [{"data": "?"}, {"parts": 10**30}, {"part": []}, {"covers": "x"}]
+        log.stored.append(STREAM, [{**part, **fields} for fields in malformed])
         fill(log, "a")
-        await copy.wait_for(lambda: copy.fold.ids[-1:] == ["a"], 5)
+        await follower.wait_for(lambda: follower.state_machine.ids[-1:] == ["a"], 5)
 
     run(check)
 
 
 def test_outage_is_waited_for_and_never_read_as_an_answer():
-    """The log is down for longer than every wait.
+    """The log is down for longer than every timeout.
 
-    A copy that took silence for an empty log would show a state without the newest
-    records as up to date.
+    A replica that treats the missing answer as an empty log would report a stale state
+    as up to date.
     """
 
     async def check(log, follow):
-        copy = await follow()
+        follower = await follow()
         fill(log, "a")
-        await copy.catch_up(5)
+        await follower.catch_up(5)
         log.down = True
-        for attempt in (copy.catch_up(0.2), copy.append([{"type": "x"}], 0.2)):
+        for attempt in (follower.catch_up(0.2), follower.append([{"type": "x"}], 0.2)):
             with pytest.raises(exception.LogUnavailableError):
                 await attempt
         log.down = False
         fill(log, "b")
-        await copy.catch_up(5)
-        assert copy.fold.ids == ["a", "b"]
+        await follower.catch_up(5)
+        assert follower.state_machine.ids == ["a", "b"]
 
     run(check)
