--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -62,7 +62,7 @@
     """
     notes = [_describe_change(entry) for entry in configuration.audit]
     for shard in shards:
-        for note in shard.ledger.notes:
+        for note in shard.ledger.audit_events:
             notes.append({"stream": shard.stream, **dataclasses.asdict(note)})
     fitting = [note for note in notes if query.matches(note)]
     return _sort(fitting)[-query.limit :]
--- a/pimentowick/placement/placement_controller.py
+++ b/pimentowick/placement/placement_controller.py
@@ -288,7 +288,7 @@
             self._fenced.get(peer.name) == report["boot"]
             and report["fence"] == self._fence
             and report["settled"]
-            and peer.asked_at > self._ended_at.get(peer.name, 0.0)
+            and peer.heartbeat_sent_at > self._ended_at.get(peer.name, 0.0)
         )
 
     def _list_engines(self, peers):
@@ -307,7 +307,7 @@
                 engines.append(engine)
         known = {engine.agent for engine in engines}
         reported = {peer.name: set(peer.report["models"]) for peer in peers}
-        intervals = {peer.name: peer.interval_s for peer in peers}
+        intervals = {peer.name: peer.heartbeat_interval_s for peer in peers}
         for name, (models, at) in list(self._last_models.items()):
             # The first report after an order may take several heartbeat intervals.
             reports_s = MAX_REPORT_INTERVALS * intervals.get(name, 0.0)
