--- a/pimentowick/cli/__init__.py
+++ b/pimentowick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of operators and callers."""
+"""Command-line interface for operators and callers."""
--- a/pimentowick/cli/amend.py
+++ b/pimentowick/cli/amend.py
@@ -1,4 +1,4 @@
-"""``pimentowick amend``: a change of a document, shown before it is published."""
+"""``pimentowick amend``: changes an existing document."""
 
 import yaml
 
@@ -6,11 +6,11 @@
 
 __all__ = ["Amend", "parse_parameters"]
 
-LATEST = "latest"
+LATEST_VERSION = "latest"
 
 
 class Amend(base.FleetCommand):
-    """Changes a document from the version that was shown."""
+    """Publishes a new version of a document after showing the differences."""
 
     name = "amend"
     description = "Change a document; the difference is shown first."
@@ -23,86 +23,92 @@
     arguments = [
         documents.KIND_ARGUMENT,
         documents.NAME_ARGUMENT,
-        base.get_argument("file", "File of the new body; - for stdin.", optional=True),
+        base.make_argument("file", "File of the new body; - for stdin.", optional=True),
     ]
-    _own_options = (
-        base.get_option(
+    _command_options = (
+        base.make_option(
             "amends", "Version that the change was made from. Default: that in force."
         ),
-        base.get_option(
+        base.make_option(
             "parameter", "name=value of a workspace's parameter.", multiple=True
         ),
-        base.get_option(
+        base.make_option(
             "template-version", "Version of the workspace's template, or latest."
         ),
         base.YES_OPTION,
     )
 
-    async def run_on(self, link):
-        """Show the difference, ask, and publish."""
+    async def run_with_client(self, client):
+        """Show the differences, ask for confirmation and publish the new body."""
         kind, name = self.argument("kind"), self.argument("name")
-        document = await documents.fetch_document(link, kind, name)
-        body = await self._make_body(link, kind, document["body"])
-        if not documents.show_difference(self, document["body"], body):
+        document = await documents.fetch_document(client, kind, name)
+        body = await self._build_body(client, kind, document["body"])
+        if not documents.show_diff(self, document["body"], body):
             self.show({"version": document["version"]}, "Nothing to publish.")
             return
-        documents.ask_to_publish(self, f"Publish this change of {kind} {name}?")
-        amends = self._read_amends(document["version"])
-        await documents.put_document(self, link, kind, name, amends, body)
+        documents.confirm_publish(self, f"Publish this change of {kind} {name}?")
+        base_version = self._get_base_version(document["version"])
+        await documents.publish_document(self, client, kind, name, base_version, body)
 
-    def _read_amends(self, version):
+    def _get_base_version(self, version):
         text = self.option("amends")
         if text is None:
             return version
         if not text.isdigit():
-            base.fail_usage(f"--amends {text}: Expected a version.")
+            base.raise_usage_error(f"--amends {text}: Expected a version.")
         return int(text)
 
-    async def _make_body(self, link, kind, current):
+    async def _build_body(self, client, kind, current):
         path = self.argument("file")
-        changes = self.option("parameter") or self.option("template-version")
-        if path is None and not changes:
-            base.fail_usage("Give a file, --parameter or --template-version.")
-        if changes and kind != "workspace":
-            base.fail_usage("--parameter and --template-version are for workspaces.")
+        edits = self.option("parameter") or self.option("template-version")
+        if path is None and not edits:
+            base.raise_usage_error("Give a file, --parameter or --template-version.")
+        if edits and kind != "workspace":
+            base.raise_usage_error(
+                "--parameter and --template-version are for workspaces."
+            )
         body = dict(current)
         if path is not None:
-            given = base.read_mapping(path)
-            body = await documents.fill_body(link, kind, given, current)
+            new_body = base.read_mapping(path)
+            body = await documents.complete_body(client, kind, new_body, current)
         if self.option("parameter"):
-            given = parse_parameters(self.option("parameter"))
-            body["parameters"] = {**body.get("parameters", {}), **given}
+            parameters = parse_parameters(self.option("parameter"))
+            body["parameters"] = {**body.get("parameters", {}), **parameters}
         if self.option("template-version"):
-            body["template_version"] = await self._read_version(link, body)
+            body["template_version"] = await self._get_template_version(client, body)
         return body
 
-    async def _read_version(self, link, body):
+    async def _get_template_version(self, client, body):
         text = self.option("template-version")
-        if text == LATEST:
-            found = await documents.fetch_document(link, "template", body["template"])
-            return found["version"]
+        if text == LATEST_VERSION:
+            template = await documents.fetch_document(
+                client, "template", body["template"]
+            )
+            return template["version"]
         if not text.isdigit():
-            base.fail_usage(f"--template-version {text}: Expected a version or latest.")
+            base.raise_usage_error(
+                f"--template-version {text}: Expected a version or latest."
+            )
         return int(text)
 
 
-def parse_parameters(texts):
-    """Return parameters from texts of the form name=value; values are YAML.
+def parse_parameters(assignments):
+    """Parse parameters of the form ``name=value``; values are YAML.
 
     Raises:
-        CommandError: One has another form.
+        CommandError: An assignment is malformed.
 
     Examples:
         >>> parse_parameters(["share=2.5", "hall=norte"])
         {'share': 2.5, 'hall': 'norte'}
     """
     parameters = {}
-    for text in texts:
-        name, separator, value = text.partition("=")
+    for assignment in assignments:
+        name, separator, value = assignment.partition("=")
         if not separator or not name:
-            base.fail_usage(f"--parameter {text}: Expected name=value.")
+            base.raise_usage_error(f"--parameter {assignment}: Expected name=value.")
         try:
             parameters[name] = yaml.safe_load(value)
         except yaml.YAMLError as error:
-            base.fail_usage(f"--parameter {name}: {error}.")
+            base.raise_usage_error(f"--parameter {name}: {error}.")
     return parameters
--- a/pimentowick/cli/application.py
+++ b/pimentowick/cli/application.py
@@ -1,4 +1,4 @@
-"""The command line ``pimentowick``: all commands in one application."""
+"""The ``pimentowick`` command-line application."""
 
 import sys
 
@@ -68,20 +68,20 @@
 
 
 def make_application():
-    """Return the application with all commands."""
-    made = cleo.application.Application("pimentowick")
-    made.auto_exits(False)
-    made.catch_exceptions(False)
+    """Create the application and register all commands."""
+    app = cleo.application.Application("pimentowick")
+    app.auto_exits(False)
+    app.catch_exceptions(False)
     for command in COMMANDS:
-        made.add(command())
-    return made
+        app.add(command())
+    return app
 
 
 def run_command(*streams):
     """Run one command and return its exit code.
 
     Args:
-        *streams: Input, output and error output; those of the process by default.
+        *streams: Input, output and error output; default to those of the process.
     """
     try:
         return make_application().run(*streams)
@@ -91,5 +91,5 @@
 
 
 def run():
-    """Run the command of the process's command line."""
+    """Run the command given in ``sys.argv`` and exit with its code."""
     sys.exit(run_command())
--- a/pimentowick/cli/audit.py
+++ b/pimentowick/cli/audit.py
@@ -1,4 +1,4 @@
-"""``pimentowick audit``: who did what, when and from where."""
+"""``pimentowick audit``: queries the audit trail."""
 
 import datetime
 import time
@@ -7,11 +7,11 @@
 
 __all__ = ["Audit", "parse_time"]
 
-UNITS_S = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
+UNIT_SECONDS = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
 
 
 class Audit(base.FleetCommand):
-    """Queries the audit trail."""
+    """Lists audit records by workspace, author, kind, name and time."""
 
     name = "audit"
     description = "Query the audit trail by workspace, person and time."
@@ -21,47 +21,47 @@
         "pimentowick audit --since 2026-12-01T00:00:00+00:00 --json",
         "pimentowick audit --own        # with a workspace's token",
     )
-    _own_options = (
-        base.get_option("workspace", "Name of the workspace."),
-        base.get_option("by", "Operator, caller (workspace/token id) or owner."),
-        base.get_option(
+    _command_options = (
+        base.make_option("workspace", "Name of the workspace."),
+        base.make_option("by", "Operator, caller (workspace/token id) or owner."),
+        base.make_option(
             "kind",
             "template, workspace, fleet, order, claim, release or cancel.",
         ),
-        base.get_option("name", "Name of the document or host, or id of the job."),
-        base.get_option("since", "A time, or an age such as 30m or 2h."),
-        base.get_option("until", "A time, or an age."),
-        base.get_option("limit", "Most notes; the newest are shown."),
-        base.get_option("own", "The caller's own part of the trail.", flag=True),
+        base.make_option("name", "Name of the document or host, or id of the job."),
+        base.make_option("since", "A time, or an age such as 30m or 2h."),
+        base.make_option("until", "A time, or an age."),
+        base.make_option("limit", "Most notes; the newest are shown."),
+        base.make_option("own", "The caller's own part of the trail.", flag=True),
     )
 
-    async def run_on(self, link):
-        """Print the notes that fit."""
-        fields = {
+    async def run_with_client(self, client):
+        """Print the records that match the options."""
+        query = {
             name: self.option(name)
             for name in ("workspace", "by", "kind", "name", "limit")
         }
         for name in ("since", "until"):
             text = self.option(name)
-            fields[name] = None if text is None else parse_time(text, time.time())
+            query[name] = None if text is None else parse_time(text, time.time())
         path = "/v1/audit" if self.option("own") else "/v1/admin/audit"
-        path = connection.make_path(path, **fields)
-        answer = base.unwrap(await link.fetch_json("GET", path))
-        self.show(answer, table.format_notes(answer["audit"]))
-        missing = answer["missing_shards"]
-        if missing and not self.option("json"):
-            self.line_error(f"No entry answered for the shards {missing}.")
+        path = connection.add_query(path, **query)
+        response = base.unwrap(await client.fetch_json("GET", path))
+        self.show(response, table.format_audit_records(response["audit"]))
+        missing_shards = response["missing_shards"]
+        if missing_shards and not self.option("json"):
+            self.line_error(f"No entry answered for the shards {missing_shards}.")
 
 
 def parse_time(text, now):
-    """Return epoch seconds from a time or an age.
+    """Convert a time or an age to seconds since the epoch.
 
     Args:
-        text: Epoch seconds, a time in ISO 8601 form, or an age such as ``2h``.
-        now: The present time, in epoch seconds.
+        text: Seconds since the epoch, an ISO 8601 time, or an age such as ``2h``.
+        now: Current time in seconds since the epoch.
 
     Raises:
-        CommandError: It is none of these.
+        CommandError: The text is in none of these formats.
 
     Examples:
         >>> parse_time("2h", 10_000.0)
@@ -70,10 +70,12 @@
         3600.0
     """
     try:
-        if text[-1:] in UNITS_S:
-            return now - float(text[:-1]) * UNITS_S[text[-1]]
+        if text[-1:] in UNIT_SECONDS:
+            return now - float(text[:-1]) * UNIT_SECONDS[text[-1]]
         if "-" in text:
             return datetime.datetime.fromisoformat(text).timestamp()
         return float(text)
     except ValueError:
-        base.fail_usage(f"{text}: Expected a time such as 2026-12-01T08:00 or 2h.")
+        base.raise_usage_error(
+            f"{text}: Expected a time such as 2026-12-01T08:00 or 2h."
+        )
--- a/pimentowick/cli/base.py
+++ b/pimentowick/cli/base.py
@@ -1,4 +1,4 @@
-"""What the commands have in common."""
+"""Base classes and helpers for commands."""
 
 import abc
 import asyncio
@@ -24,18 +24,18 @@
     "CommandError",
     "FleetCommand",
     "OfflineCommand",
-    "choose_path",
-    "fail_usage",
-    "get_argument",
-    "get_option",
+    "make_api_path",
+    "make_argument",
+    "make_option",
+    "raise_usage_error",
     "read_mapping",
     "unwrap",
 ]
 
-ENTRIES_VARIABLE = "PIMENTOWICK_ENTRIES"
-TOKEN_VARIABLE = "PIMENTOWICK_TOKEN"
-AUTHORITY_VARIABLE = "PIMENTOWICK_AUTHORITY"
-EXIT_CODES = """
+ENTRIES_ENV_VAR = "PIMENTOWICK_ENTRIES"
+TOKEN_ENV_VAR = "PIMENTOWICK_TOKEN"
+AUTHORITY_ENV_VAR = "PIMENTOWICK_AUTHORITY"
+EXIT_CODES_HELP = """
 <b>EXIT CODES</b>
   0  done
   2  the command line, a file or a setting is wrong; nothing was sent
@@ -45,26 +45,26 @@
 
 
 class CommandError(exception.PimentowickError):
-    """Ends a command with a `pimentowick.cli.outcome.Failure`."""
+    """Terminates a command with a `pimentowick.cli.outcome.Failure`."""
 
     def __init__(self, failure):
         super().__init__(failure.message)
         self.failure = failure
 
 
-def unwrap(found):
-    """Return the value of a `result.Result`.
+def unwrap(response):
+    """Return the value of a successful `result.Result`.
 
     Raises:
-        CommandError: It is a failure.
+        CommandError: The result is a failure.
     """
-    if isinstance(found, result.Success):
-        return found.unwrap()
-    raise CommandError(found.failure())
+    if isinstance(response, result.Success):
+        return response.unwrap()
+    raise CommandError(response.failure())
 
 
-def fail_usage(message):
-    """End the command: its arguments or files are wrong.
+def raise_usage_error(message):
+    """Report invalid arguments, options or files.
 
     Raises:
         CommandError: Always.
@@ -74,53 +74,55 @@
     )
 
 
-def get_argument(name, description, **fields):
-    """Return the declaration of an argument."""
-    return helpers.argument(name, description, **fields)
+def make_argument(name, description, **options):
+    """Declare a command argument."""
+    return helpers.argument(name, description, **options)
 
 
-def get_option(name, description, flag=False, **fields):
-    """Return the declaration of an option, by default one with a value."""
-    return helpers.option(name, None, description, flag=flag, **fields)
+def make_option(name, description, flag=False, **options):
+    """Declare a command option; it takes a value unless `flag` is set."""
+    return helpers.option(name, None, description, flag=flag, **options)
 
 
-def choose_path(command, path):
-    """Return a path below ``/v1``, or ``/v1/admin`` with ``--operator``."""
+def make_api_path(command, path):
+    """Prefix a path with ``/v1``, or with ``/v1/admin`` if ``--operator`` is set."""
     return f"/v1/admin{path}" if command.option("operator") else f"/v1{path}"
 
 
 def read_mapping(path):
-    """Return the mapping in a YAML or JSON file; ``-`` is standard input.
+    """Read a mapping from a YAML or JSON file, or from standard input for ``-``.
 
     Raises:
-        CommandError: It can't be read, or holds something else.
+        CommandError: The file can't be read or is not a mapping.
     """
     try:
         text = sys.stdin.read() if path == "-" else pathlib.Path(path).read_text()
         data = yaml.safe_load(text)
     except OSError as error:
-        fail_usage(f"{path}: {error.strerror}.")
+        raise_usage_error(f"{path}: {error.strerror}.")
     except (UnicodeDecodeError, yaml.YAMLError) as error:
-        fail_usage(f"{path}: {error}.")
+        raise_usage_error(f"{path}: {error}.")
     if not isinstance(data, dict):
-        fail_usage(f"{path}: Expected a mapping.")
+        raise_usage_error(f"{path}: Expected a mapping.")
     return data
 
 
 class Command(command.Command, abc.ABC):
-    """Runs, shows what came out, and ends with a documented exit code.
+    """Base class of all commands.
+
+    Prints the result or the failure and returns a documented exit code.
 
     Class attributes:
-        examples: Command lines that the help shows.
+        examples: Command lines shown in the help text.
     """
 
     examples = ()
 
     def configure(self):
-        """Add the common options, the examples and the exit codes."""
+        """Compose the help text from description, examples and exit codes."""
         lines = [f"  {line}" for line in self.examples]
         self.help = "\n".join(
-            [f"{self.description}\n\n<b>EXAMPLES</b>", *lines, EXIT_CODES]
+            [f"{self.description}\n\n<b>EXAMPLES</b>", *lines, EXIT_CODES_HELP]
         )
         super().configure()
 
@@ -135,7 +137,7 @@
 
     @abc.abstractmethod
     def _run_command(self):
-        """Run, and return an exit code or None."""
+        """Run the command and return its exit code, or None for success."""
 
     def _show_failure(self, failure):
         if self.option("json"):
@@ -145,116 +147,120 @@
         self.io.write_error_line(text, type=output.Type.RAW)
 
     def show(self, data, text):
-        """Print `data` as JSON if that was asked for, otherwise `text`."""
+        """Print `data` as JSON if ``--json`` is set, otherwise `text`."""
         if self.option("json"):
             text = json.dumps(data, sort_keys=True)
         self.show_text(text)
 
     def show_text(self, text):
-        """Print text as it is."""
-        # Raw: text of others must not be taken for markup of the terminal.
+        """Print text without interpreting markup."""
+        # Documents and logs may contain strings that look like cleo style tags.
         self.io.write_line(text, type=output.Type.RAW)
 
-    def ask(self, question):
-        """Return whether the user agrees to what was shown.
+    def confirm_change(self, question):
+        """Ask the user for confirmation, unless ``--yes`` is set.
 
         Raises:
-            CommandError: There is nobody to ask.
+            CommandError: The session is not interactive and ``--yes`` is not set.
         """
         if self.option("yes"):
             return True
         if not self.io.is_interactive():
-            fail_usage("Nobody can be asked here. Give --yes to go on.")
+            raise_usage_error("Nobody can be asked here. Give --yes to go on.")
         return self.confirm(question, False)
 
 
-JSON_OPTION = get_option("json", "Print one JSON object.", flag=True)
-OPERATOR_OPTION = get_option("operator", "The token is an operator's.", flag=True)
-YES_OPTION = get_option("yes", "Don't ask.", flag=True)
+JSON_OPTION = make_option("json", "Print one JSON object.", flag=True)
+OPERATOR_OPTION = make_option("operator", "The token is an operator's.", flag=True)
+YES_OPTION = make_option("yes", "Don't ask.", flag=True)
 
 
 class OfflineCommand(Command):
-    """A command that needs no fleet."""
+    """Base class of commands that send no requests."""
 
-    _own_options = ()
+    _command_options = ()
 
     def configure(self):
-        """Add the common options."""
-        self.options = [*self._own_options, JSON_OPTION]
+        """Declare the options."""
+        self.options = [*self._command_options, JSON_OPTION]
         super().configure()
 
 
 class FleetCommand(Command):
-    """A command that talks to entries."""
+    """Base class of commands that send requests to entries."""
 
-    _own_options = ()
+    _command_options = ()
     _common_options = (
-        get_option(
+        make_option(
             "entry",
-            f"IP:port of an entry; may be given again. Default: ${ENTRIES_VARIABLE},"
+            f"IP:port of an entry; may be given again. Default: ${ENTRIES_ENV_VAR},"
             " separated by commas.",
             multiple=True,
         ),
-        get_option(
+        make_option(
             "token-file",
-            f"File that holds the token. Default: the token in ${TOKEN_VARIABLE}.",
+            f"File that holds the token. Default: the token in ${TOKEN_ENV_VAR}.",
         ),
-        get_option(
+        make_option(
             "authority",
             "PEM file of the authority that signs the entries' certificates. Default:"
-            f" ${AUTHORITY_VARIABLE}; without one, plain HTTP.",
+            f" ${AUTHORITY_ENV_VAR}; without one, plain HTTP.",
         ),
         JSON_OPTION,
     )
 
     def configure(self):
-        """Add the options that say where the fleet is."""
-        self.options = [*self._own_options, *self._common_options]
+        """Declare the options, including address, token and authority of the fleet."""
+        self.options = [*self._command_options, *self._common_options]
         super().configure()
 
     def _run_command(self):
-        return asyncio.run(self._run_connected())
+        return asyncio.run(self._connect_and_run())
 
-    async def _run_connected(self):
-        link = connection.Connection(
+    async def _connect_and_run(self):
+        client = connection.FleetClient(
             self._read_entries(), self._read_token(), self._read_tls()
         )
-        await link.start()
+        await client.start()
         try:
-            return await self.run_on(link)
+            return await self.run_with_client(client)
         finally:
-            await link.close()
+            await client.close()
 
     @abc.abstractmethod
-    async def run_on(self, link):
-        """Run with a `pimentowick.cli.connection.Connection`."""
+    async def run_with_client(self, client):
+        """Run the command and return its exit code, or None for success.
+
+        Args:
+            client: `pimentowick.cli.connection.FleetClient`, already started.
+        """
 
     def _read_entries(self):
-        given = self.option("entry") or os.environ.get(ENTRIES_VARIABLE, "").split(",")
-        entries = [entry.strip() for entry in given if entry.strip()]
+        values = self.option("entry") or os.environ.get(ENTRIES_ENV_VAR, "").split(",")
+        entries = [entry.strip() for entry in values if entry.strip()]
         if not entries:
-            fail_usage(f"Give --entry IP:port, or set ${ENTRIES_VARIABLE}.")
+            raise_usage_error(f"Give --entry IP:port, or set ${ENTRIES_ENV_VAR}.")
         for entry in entries:
             _, separator, port = entry.rpartition(":")
             if not separator or not port.isdigit():
-                fail_usage(f"--entry {entry}: Expected IP:port.")
+                raise_usage_error(f"--entry {entry}: Expected IP:port.")
         return entries
 
     def _read_tls(self):
-        path = self.option("authority") or os.environ.get(AUTHORITY_VARIABLE)
+        path = self.option("authority") or os.environ.get(AUTHORITY_ENV_VAR)
         try:
             return tls.ClientTls(path) if path else None
         except exception.SettingsError as error:
-            fail_usage(str(error))
+            raise_usage_error(str(error))
 
     def _read_token(self):
         path = self.option("token-file")
         if path is None:
-            token = os.environ.get(TOKEN_VARIABLE, "")
+            token = os.environ.get(TOKEN_ENV_VAR, "")
         else:
             token = _read_text(path)
         if not token.strip():
-            fail_usage(f"Give --token-file FILE, or set ${TOKEN_VARIABLE}.")
+            raise_usage_error(f"Give --token-file FILE, or set ${TOKEN_ENV_VAR}.")
         return token.strip()
 
 
@@ -262,4 +268,4 @@
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        fail_usage(f"{path}: {error.strerror}.")
+        raise_usage_error(f"{path}: {error.strerror}.")
--- a/pimentowick/cli/connection.py
+++ b/pimentowick/cli/connection.py
@@ -1,4 +1,4 @@
-"""Requests from the command line to the entries of a fleet."""
+"""HTTP client for the entries of a fleet."""
 
 import urllib.parse
 
@@ -8,23 +8,23 @@
 from pimentowick import exception, verdict
 from pimentowick.cli import outcome
 
-__all__ = ["Connection", "make_path"]
+__all__ = ["FleetClient", "add_query"]
 
-READ_METHODS = frozenset(["GET", "HEAD"])
+READ_ONLY_METHODS = frozenset(["GET", "HEAD"])
 DEFAULT_TIMEOUT_S = 60.0
 
 
-class Connection:
-    """Asks the entries in turn until one answers.
+class FleetClient:
+    """HTTP client that fails over between entries.
 
-    A request that only reads goes on to the next entry after any failure. One that
-    changes something does so only if the failed one is known not to have run:
-    otherwise it could take effect twice.
+    A request that was not executed is retried at the next entry. If the outcome of an
+    attempt is unknown, only read-only requests are retried, so that no change is
+    applied twice. Refused requests are not retried.
 
     Args:
-        entries: List of ``IP:port``.
+        entries: List of addresses, ``IP:port``, in the order in which they are tried.
         token: Token of an operator or a workspace.
-        tls: `pimentowick.tls.ClientTls`, or None.
+        tls: `pimentowick.tls.ClientTls`, or None for plain HTTP.
     """
 
     def __init__(self, entries, token, tls=None):
@@ -33,75 +33,77 @@
         self._client = http_client.Client(max_connections=4, tls=tls)
 
     async def start(self):
-        """Make the pool of connections."""
+        """Open the connection pool."""
         await self._client.start()
 
     async def close(self):
-        """Drop all connections."""
+        """Close the connection pool."""
         await self._client.close()
 
     async def fetch(
         self, method, path, body=None, headers=None, timeout_s=DEFAULT_TIMEOUT_S
     ):
-        """Send a request.
+        """Send a request to the first entry that can process it.
 
         Args:
             method: HTTP method.
             path: Path and query.
-            body: Bytes, or data to send as JSON, or None.
-            headers: Dictionary of headers besides that of the token.
-            timeout_s: Bound of one exchange, in seconds.
+            body: Bytes, or data to encode as JSON, or None.
+            headers: Additional headers, as a dictionary.
+            timeout_s: Timeout of each attempt, in seconds.
 
         Returns:
-            `result.Result` of the `pimentowick.client.Answer`, whose status is below
-            300, or the `pimentowick.cli.outcome.Failure`.
+            `result.Result` that holds a `pimentowick.client.Answer` with a status below
+            300, or the `pimentowick.cli.outcome.Failure` of the last attempt.
         """
         headers = {"Authorization": f"Bearer {self._token}", **(headers or {})}
-        failure = None
+        last_failure = None
         for address in self._entries:
-            answer = await self._try(address, method, path, body, headers, timeout_s)
-            if isinstance(answer, result.Success):
-                return answer
-            failure = answer
-            if not _may_go_on(method, answer.failure()):
-                return answer
-        return failure
-
-    async def _try(self, address, method, path, body, headers, timeout_s):
+            response = await self._fetch_from(
+                address, method, path, body, headers, timeout_s
+            )
+            if isinstance(response, result.Success):
+                return response
+            last_failure = response
+            if not _may_try_next_entry(method, response.failure()):
+                return response
+        return last_failure
+
+    async def _fetch_from(self, address, method, path, body, headers, timeout_s):
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 method, address, path, body, headers, timeout_s=timeout_s, fresh=True
             )
         except http_client.TransportError as error:
-            return result.Failure(_explain_transport(error))
-        if answer.status < 300:
-            return result.Success(answer)
-        return result.Failure(_explain_answer(answer))
+            return result.Failure(_make_transport_failure(error))
+        if response.status < 300:
+            return result.Success(response)
+        return result.Failure(_make_response_failure(response))
 
-    async def fetch_json(self, method, path, body=None, **fields):
-        """Send a request; like `fetch`, with the decoded body as the result."""
-        answer = await self.fetch(method, path, body, **fields)
-        return answer.map(http_client.Answer.decode)
+    async def fetch_json(self, method, path, body=None, **options):
+        """Send a request like `fetch`, and decode the body of the response as JSON."""
+        response = await self.fetch(method, path, body, **options)
+        return response.map(http_client.Answer.decode)
 
 
-def make_path(path, **fields):
-    """Return a path with the fields that are not None as its query.
+def add_query(path, **parameters):
+    """Append query parameters to a path, leaving out those that are None.
 
     Examples:
-        >>> make_path("/v1/audit", by="a b", since=None)
+        >>> add_query("/v1/audit", by="a b", since=None)
         '/v1/audit?by=a+b'
     """
-    given = {name: value for name, value in fields.items() if value is not None}
-    return f"{path}?{urllib.parse.urlencode(given)}" if given else path
+    query = {name: value for name, value in parameters.items() if value is not None}
+    return f"{path}?{urllib.parse.urlencode(query)}" if query else path
 
 
-def _may_go_on(method, failure):
+def _may_try_next_entry(method, failure):
     if failure.exit_code is outcome.ExitCode.UNREACHABLE:
         return True
-    return method in READ_METHODS and failure.exit_code is outcome.ExitCode.UNKNOWN
+    return method in READ_ONLY_METHODS and failure.exit_code is outcome.ExitCode.UNKNOWN
 
 
-def _explain_transport(error):
+def _make_transport_failure(error):
     if error.verdict is verdict.Verdict.NOT_RUN:
         return outcome.Failure(
             outcome.ExitCode.UNREACHABLE,
@@ -115,13 +117,13 @@
     )
 
 
-def _explain_answer(answer):
+def _make_response_failure(response):
     try:
-        refusal = verdict.Refusal.from_dict(answer.decode())
+        refusal = verdict.Refusal.from_dict(response.decode())
     except (exception.ValidationError, KeyError, TypeError, ValueError):
         return outcome.Failure(
             outcome.ExitCode.UNKNOWN,
             "malformed_answer",
-            f"Status {answer.status} without a refusal. Is that an entry?",
+            f"Status {response.status} without a refusal. Is that an entry?",
         )
-    return outcome.explain_refusal(refusal)
+    return outcome.make_refusal_failure(refusal)
--- a/pimentowick/cli/day_show.py
+++ b/pimentowick/cli/day_show.py
@@ -1,4 +1,4 @@
-"""``pimentowick day show``: what the gateways' logs say of a day."""
+"""``pimentowick day show``: summarises the decision logs of gateways."""
 
 from pimentowick.cli import base, trace
 from pimentowick.gateway import history
@@ -7,13 +7,13 @@
 
 
 class DayShow(base.OfflineCommand):
-    """Counts outcomes, delays and lost dependencies in the gateways' logs."""
+    """Summarises outcomes, delays and lost dependencies in decision logs."""
 
     name = "day show"
     description = "Summarise the gateways' logs of a day."
     examples = ("pimentowick day show front-1.log front-2.log",)
-    arguments = [base.get_argument("files", "Logs of gateways.", multiple=True)]
+    arguments = [base.make_argument("files", "Logs of gateways.", multiple=True)]
 
     def _run_command(self):
-        rows = history.summarise(*trace.read_logs(self.argument("files")))
+        rows = history.summarise(*trace.read_decision_logs(self.argument("files")))
         self.show({"rows": rows}, "\n".join(rows))
--- a/pimentowick/cli/diff.py
+++ b/pimentowick/cli/diff.py
@@ -1,4 +1,4 @@
-"""``pimentowick diff``: a file against the document in force."""
+"""``pimentowick diff``: compares a file with the current document."""
 
 from pimentowick.cli import base, documents
 from pimentowick.configuration import change
@@ -7,7 +7,7 @@
 
 
 class Diff(base.FleetCommand):
-    """Shows what publishing a file would change."""
+    """Shows the differences between a file and the current document."""
 
     name = "diff"
     description = "Show how a file differs from the document in force."
@@ -18,14 +18,16 @@
         documents.FILE_ARGUMENT,
     ]
 
-    async def run_on(self, link):
-        """Print the difference."""
+    async def run_with_client(self, client):
+        """Print the differences."""
         kind, name = self.argument("kind"), self.argument("name")
-        given = base.read_mapping(self.argument("file"))
-        version, current = await documents.fetch_body(link, kind, name)
-        body = await documents.fill_body(link, kind, given, current)
-        lines = change.diff_documents(current, body)
+        new_body = base.read_mapping(self.argument("file"))
+        version, current = await documents.fetch_body(client, kind, name)
+        body = await documents.complete_body(client, kind, new_body, current)
+        diff_lines = change.diff_documents(current, body)
         self.show(
-            {"version": version, "difference": lines},
-            "\n".join(lines) if lines else f"No difference from version {version}.",
+            {"version": version, "difference": diff_lines},
+            "\n".join(diff_lines)
+            if diff_lines
+            else f"No difference from version {version}.",
         )
--- a/pimentowick/cli/documents.py
+++ b/pimentowick/cli/documents.py
@@ -1,4 +1,4 @@
-"""Looking documents up, and changing them with the difference shown first."""
+"""Fetches, compares and publishes configuration documents."""
 
 from pimentowick.cli import base
 from pimentowick.configuration import change, document
@@ -7,61 +7,69 @@
     "FILE_ARGUMENT",
     "KIND_ARGUMENT",
     "NAME_ARGUMENT",
-    "ask_to_publish",
-    "change_workspace",
     "check_kind",
+    "complete_body",
+    "confirm_publish",
+    "edit_workspace",
     "fetch_body",
     "fetch_document",
-    "fill_body",
-    "put_document",
-    "show_difference",
+    "publish_document",
+    "show_diff",
 ]
 
-KIND_ARGUMENT = base.get_argument("kind", "template, workspace or fleet.")
-NAME_ARGUMENT = base.get_argument("name", "Name of the document; fleet for the fleet.")
-FILE_ARGUMENT = base.get_argument("file", "YAML or JSON file of the body; - for stdin.")
-PUT_TIMEOUT_S = 30.0
+KIND_ARGUMENT = base.make_argument("kind", "template, workspace or fleet.")
+NAME_ARGUMENT = base.make_argument("name", "Name of the document; fleet for the fleet.")
+FILE_ARGUMENT = base.make_argument(
+    "file", "YAML or JSON file of the body; - for stdin."
+)
+PUBLISH_TIMEOUT_S = 30.0
 
 
 def check_kind(kind):
-    """Refuse an unknown kind.
+    """Check that a document kind is known.
 
     Raises:
-        CommandError: It is none of the three.
+        CommandError: The kind is not template, workspace or fleet.
     """
     if kind not in document.KINDS:
-        base.fail_usage(f"{kind}: Expected template, workspace or fleet.")
+        base.raise_usage_error(f"{kind}: Expected template, workspace or fleet.")
 
 
-async def fetch_document(link, kind, name):
-    """Return the document in force.
+async def fetch_document(client, kind, name):
+    """Fetch the current version of a document.
 
     Raises:
-        CommandError: There is none, or no entry answered.
+        CommandError: The document doesn't exist or the request fails.
     """
     check_kind(kind)
-    return base.unwrap(await link.fetch_json("GET", f"/v1/admin/{kind}/{name}"))
+    return base.unwrap(await client.fetch_json("GET", f"/v1/admin/{kind}/{name}"))
 
 
-async def fetch_body(link, kind, name):
-    """Return version and body in force; ``(0, None)`` if there is no document."""
+async def fetch_body(client, kind, name):
+    """Fetch the current version number and body; ``(0, None)`` if there is none."""
     check_kind(kind)
-    found = await link.fetch_json("GET", f"/v1/admin/{kind}/{name}")
-    if found.map(bool).value_or(False):
-        in_force = found.unwrap()
-        return in_force["version"], in_force["body"]
-    if found.failure().code == "unknown":
+    response = await client.fetch_json("GET", f"/v1/admin/{kind}/{name}")
+    if response.map(bool).value_or(False):
+        current = response.unwrap()
+        return current["version"], current["body"]
+    if response.failure().code == "unknown":
         return 0, None
-    base.unwrap(found)
-    raise AssertionError("A failure was unwrapped.")
+    base.unwrap(response)
+    raise AssertionError("unreachable: unwrap raises CommandError for a failure")
 
 
-async def fill_body(link, kind, body, current):
-    """Return a body from a file, with what it leaves out.
+async def complete_body(client, kind, body, current):
+    """Add defaults for the fields that a body from a file leaves out.
 
-    A workspace without ``tokens`` keeps those in force, and the fleet its
-    ``operators``: a file that leaves them out must lock nobody out. A workspace
-    without ``template_version`` gets the version of its template that is in force.
+    ``tokens`` of a workspace and ``operators`` of the fleet default to the current
+    ones, so that a file without them revokes no access. ``template_version`` of a
+    workspace defaults to the current version of its template.
+
+    Args:
+        client: `pimentowick.cli.connection.FleetClient`.
+        kind: "template", "workspace" or "fleet".
+        body: Body read from the file.
+        current: Body of the current version, or None for a new document.
     """
     body = dict(body)
     if kind == "fleet" and "operators" not in body:
@@ -71,61 +79,63 @@
     if "tokens" not in body:
         body["tokens"] = (current or {}).get("tokens", [])
     if "template_version" not in body and isinstance(body.get("template"), str):
-        template = await fetch_document(link, "template", body["template"])
+        template = await fetch_document(client, "template", body["template"])
         body["template_version"] = template["version"]
     return body
 
 
-def show_difference(command, old_body, new_body):
-    """Print the difference of two bodies, and return whether there is one."""
+def show_diff(command, old_body, new_body):
+    """Print a diff of two bodies and return whether they differ."""
     lines = change.diff_documents(old_body, new_body)
     if not command.option("json"):
         command.show_text("\n".join(lines) if lines else "No difference.")
     return bool(lines)
 
 
-def ask_to_publish(command, question):
-    """Ask whether to publish what was shown.
+def confirm_publish(command, question):
+    """Ask for confirmation before publishing.
 
     Raises:
-        CommandError: The user does not agree, or nobody can be asked.
+        CommandError: The user declines, or the session is not interactive.
     """
-    if not command.ask(question):
-        base.fail_usage("Nothing was published.")
+    if not command.confirm_change(question):
+        base.raise_usage_error("Nothing was published.")
 
 
-async def put_document(command, link, kind, name, amends, body):
-    """Publish a body and show what became of it.
+async def publish_document(command, client, kind, name, base_version, body):
+    """Publish a body and print the resulting version.
 
     Raises:
-        CommandError: It was refused, or that is not known.
+        CommandError: The change was refused, or its outcome is unknown.
     """
-    message = {"amends": amends, "body": body, "wait": True}
+    message = {"amends": base_version, "body": body, "wait": True}
     path = f"/v1/admin/{kind}/{name}"
-    found = await link.fetch_json("PUT", path, message, timeout_s=PUT_TIMEOUT_S)
-    answer = base.unwrap(found)
+    put_result = await client.fetch_json(
+        "PUT", path, message, timeout_s=PUBLISH_TIMEOUT_S
+    )
+    response = base.unwrap(put_result)
     command.show(
-        {"kind": kind, "name": name, **answer},
-        f"Version {answer['version']} of {kind} {name} is in force at"
-        f" {answer['in_force']} of {answer['of']} entries.",
+        {"kind": kind, "name": name, **response},
+        f"Version {response['version']} of {kind} {name} is in force at"
+        f" {response['in_force']} of {response['of']} entries.",
     )
 
 
-async def change_workspace(command, link, name, edit):
-    """Show and publish a change of a workspace's body.
+async def edit_workspace(command, client, name, edit):
+    """Edit the body of a workspace, ask for confirmation and publish it.
 
     Args:
-        command: The command, which shows and asks.
-        link: `pimentowick.cli.connection.Connection`.
+        command: Command used for output and confirmation.
+        client: `pimentowick.cli.connection.FleetClient`.
         name: Name of the workspace.
-        edit: Function from the body in force to the new one.
+        edit: Function that takes the current body and returns the new one.
 
     Raises:
-        CommandError: It was refused, or that is not known.
+        CommandError: The change was refused, or its outcome is unknown.
     """
-    in_force = await fetch_document(link, "workspace", name)
-    body = edit(dict(in_force["body"]))
-    if not show_difference(command, in_force["body"], body):
+    current = await fetch_document(client, "workspace", name)
+    body = edit(dict(current["body"]))
+    if not show_diff(command, current["body"], body):
         return
-    ask_to_publish(command, "Publish this?")
-    await put_document(command, link, "workspace", name, in_force["version"], body)
+    confirm_publish(command, "Publish this?")
+    await publish_document(command, client, "workspace", name, current["version"], body)
--- a/pimentowick/cli/fleet_status.py
+++ b/pimentowick/cli/fleet_status.py
@@ -1,4 +1,4 @@
-"""``pimentowick fleet status``: versions, owners, and who drains or lags."""
+"""``pimentowick fleet status``: shows the state of entries, agents and shards."""
 
 from pimentowick.cli import base, table
 
@@ -6,15 +6,15 @@
 
 
 class FleetStatus(base.FleetCommand):
-    """Shows the fleet as one entry sees it."""
+    """Shows the state of the fleet as known to one entry."""
 
     name = "fleet status"
     description = "Show versions in force, owners of shards, and who drains or lags."
     examples = ("pimentowick fleet status", "pimentowick fleet status --json")
 
-    async def run_on(self, link):
+    async def run_with_client(self, client):
         """Print entries, agents and shards."""
-        status = base.unwrap(await link.fetch_json("GET", "/v1/admin/status"))
+        status = base.unwrap(await client.fetch_json("GET", "/v1/admin/status"))
         self.show(status, _format_status(status))
 
 
@@ -36,15 +36,15 @@
             name,
             entry["address"],
             "leaving" if entry["leaving"] else entry.get("state", "unknown"),
-            _format_unknown(entry.get("version")),
-            _format_unknown(entry.get("lag_s")),
+            _format_optional(entry.get("version")),
+            _format_optional(entry.get("lag_s")),
         )
         for name, entry in sorted(entries.items())
     ]
     return table.format_table(("entry", "address", "state", "version", "lag_s"), rows)
 
 
-def _format_unknown(value):
+def _format_optional(value):
     return "-" if value is None else value
 
 
@@ -74,7 +74,7 @@
             shard["open_jobs"],
             "yes" if shard["ready"] else "no",
         )
-        for number, shard in sorted(shards.items(), key=lambda each: int(each[0]))
+        for number, shard in sorted(shards.items(), key=lambda pair: int(pair[0]))
     ]
     headings = ("shard", "owner", "epoch", "open jobs", "read")
     return table.format_table(headings, rows)
--- a/pimentowick/cli/history.py
+++ b/pimentowick/cli/history.py
@@ -1,4 +1,4 @@
-"""``pimentowick history``: the changes of one document."""
+"""``pimentowick history``: lists the changes of a document."""
 
 from pimentowick.cli import base, connection, documents, table
 
@@ -13,10 +13,10 @@
     examples = ("pimentowick history workspace feria-norte",)
     arguments = [documents.KIND_ARGUMENT, documents.NAME_ARGUMENT]
 
-    async def run_on(self, link):
-        """Print the notes about the document."""
+    async def run_with_client(self, client):
+        """Print the audit records of the document."""
         kind, name = self.argument("kind"), self.argument("name")
         documents.check_kind(kind)
-        path = connection.make_path("/v1/admin/audit", kind=kind, name=name)
-        answer = base.unwrap(await link.fetch_json("GET", path))
-        self.show(answer, table.format_notes(answer["audit"]))
+        path = connection.add_query("/v1/admin/audit", kind=kind, name=name)
+        response = base.unwrap(await client.fetch_json("GET", path))
+        self.show(response, table.format_audit_records(response["audit"]))
--- a/pimentowick/cli/host_drain.py
+++ b/pimentowick/cli/host_drain.py
@@ -1,4 +1,4 @@
-"""``pimentowick host drain``: a graceful stop of a host or target."""
+"""``pimentowick host drain``: stops a host or target gracefully."""
 
 from pimentowick.cli import base
 
@@ -6,7 +6,7 @@
 
 
 class HostDrain(base.FleetCommand):
-    """Drains an entry, or the agent beside a target."""
+    """Drains an entry, or the agent of a target."""
 
     name = "host drain"
     description = "Drain a host or target: finish what runs, then end its process."
@@ -15,14 +15,16 @@
         "pimentowick host drain asistente-lm-0 --yes    # by the target's name",
         "pimentowick host drain entry-1",
     )
-    arguments = [base.get_argument("host", "Name of an entry, agent or target.")]
-    _own_options = (base.YES_OPTION,)
+    arguments = [base.make_argument("host", "Name of an entry, agent or target.")]
+    _command_options = (base.YES_OPTION,)
 
-    async def run_on(self, link):
-        """Ask, and pass the order on."""
+    async def run_with_client(self, client):
+        """Ask for confirmation and send the drain order."""
         host = self.argument("host")
-        if not self.ask(f"Drain {host} and end its process?"):
-            base.fail_usage("Nothing was ordered.")
-        found = await link.fetch_json("POST", "/v1/admin/drain", {"host": host})
-        answer = base.unwrap(found)
-        self.show(answer, f"{answer['host']} drains. See pimentowick fleet status.")
+        if not self.confirm_change(f"Drain {host} and end its process?"):
+            base.raise_usage_error("Nothing was ordered.")
+        drain_result = await client.fetch_json(
+            "POST", "/v1/admin/drain", {"host": host}
+        )
+        response = base.unwrap(drain_result)
+        self.show(response, f"{response['host']} drains. See pimentowick fleet status.")
--- a/pimentowick/cli/job_cancel.py
+++ b/pimentowick/cli/job_cancel.py
@@ -1,4 +1,4 @@
-"""``pimentowick job cancel``: stop a job."""
+"""``pimentowick job cancel``: cancels a job."""
 
 from pimentowick.cli import base, jobs
 
@@ -6,7 +6,7 @@
 
 
 class JobCancel(base.FleetCommand):
-    """Cancels a job, and returns once no item of it can start or complete."""
+    """Cancels a job; returns once none of its items can start or complete."""
 
     name = "job cancel"
     description = "Stop a job; results that it has stay readable."
@@ -15,9 +15,9 @@
         "pimentowick job cancel batch_1f0c6a1be2d94c0712345678 --operator",
     )
     arguments = [jobs.JOB_ARGUMENT]
-    _own_options = (base.OPERATOR_OPTION,)
+    _command_options = (base.OPERATOR_OPTION,)
 
-    async def run_on(self, link):
-        """Cancel, and print the job."""
-        path = base.choose_path(self, f"/batches/{self.argument('job')}/cancel")
-        jobs.show_job(self, base.unwrap(await link.fetch_json("POST", path, {})))
+    async def run_with_client(self, client):
+        """Cancel the job and print its state."""
+        path = base.make_api_path(self, f"/batches/{self.argument('job')}/cancel")
+        jobs.show_job(self, base.unwrap(await client.fetch_json("POST", path, {})))
--- a/pimentowick/cli/job_fetch.py
+++ b/pimentowick/cli/job_fetch.py
@@ -1,4 +1,4 @@
-"""``pimentowick job fetch``: the results of a job."""
+"""``pimentowick job fetch``: downloads the results of a job."""
 
 import os
 import pathlib
@@ -11,33 +11,37 @@
 
 
 class JobFetch(base.FleetCommand):
-    """Fetches the results so far as JSON lines."""
+    """Downloads the results available so far in JSON Lines format."""
 
     name = "job fetch"
     description = "Fetch the results of a job as JSON lines, whole or not at all."
     examples = ("pimentowick job fetch batch_1f0c6a1b --output results.jsonl",)
     arguments = [jobs.JOB_ARGUMENT]
-    _own_options = (base.get_option("output", "File to write. Default: stdout."),)
+    _command_options = (base.make_option("output", "File to write. Default: stdout."),)
 
-    async def run_on(self, link):
-        """Write the results."""
+    async def run_with_client(self, client):
+        """Write the results to the output file or to standard output."""
         path = f"/v1/batches/{self.argument('job')}/results"
-        answer = base.unwrap(await link.fetch("GET", path, timeout_s=FETCH_TIMEOUT_S))
-        lines = answer.body.decode()
-        target = self.option("output")
-        if target is None:
+        response = base.unwrap(
+            await client.fetch("GET", path, timeout_s=FETCH_TIMEOUT_S)
+        )
+        lines = response.body.decode()
+        output_path = self.option("output")
+        if output_path is None:
             self.show_text(lines.rstrip("\n"))
             return
-        _write_whole(pathlib.Path(target), answer.body)
+        _write_atomically(pathlib.Path(output_path), response.body)
         count = lines.count("\n")
-        self.show({"output": target, "results": count}, f"{count} results: {target}")
+        self.show(
+            {"output": output_path, "results": count}, f"{count} results: {output_path}"
+        )
 
 
-def _write_whole(path, data):
-    # Renamed at the end: a reader never takes a part of the results for all.
-    part = path.with_name(path.name + ".part")
+def _write_atomically(path, data):
+    # A rename is atomic, so readers never see a partially written file.
+    partial_path = path.with_name(path.name + ".part")
     try:
-        part.write_bytes(data)
-        os.replace(part, path)
+        partial_path.write_bytes(data)
+        os.replace(partial_path, path)
     except OSError as error:
-        base.fail_usage(f"{path}: {error.strerror}.")
+        base.raise_usage_error(f"{path}: {error.strerror}.")
--- a/pimentowick/cli/job_list.py
+++ b/pimentowick/cli/job_list.py
@@ -1,4 +1,4 @@
-"""``pimentowick job list``: the newest jobs."""
+"""``pimentowick job list``: lists the newest jobs."""
 
 from pimentowick.cli import base, connection, table
 
@@ -8,7 +8,7 @@
 
 
 class JobList(base.FleetCommand):
-    """Lists the jobs of the workspace, or of all for an operator."""
+    """Lists the jobs of one workspace, or those of all workspaces for operators."""
 
     name = "job list"
     description = "List the newest jobs of a workspace, or of all with --operator."
@@ -16,18 +16,18 @@
         "pimentowick job list --token-file norte.token",
         "pimentowick job list --operator --limit 20",
     )
-    _own_options = (
-        base.get_option("limit", "Most jobs; the newest are shown."),
+    _command_options = (
+        base.make_option("limit", "Most jobs; the newest are shown."),
         base.OPERATOR_OPTION,
     )
 
-    async def run_on(self, link):
+    async def run_with_client(self, client):
         """Print the jobs."""
-        path = base.choose_path(self, "/batches")
-        path = connection.make_path(path, limit=self.option("limit"))
-        answer = base.unwrap(await link.fetch_json("GET", path))
-        rows = [_make_row(job) for job in answer["data"]]
-        self.show(answer, table.format_table(HEADINGS, rows))
+        path = base.make_api_path(self, "/batches")
+        path = connection.add_query(path, limit=self.option("limit"))
+        response = base.unwrap(await client.fetch_json("GET", path))
+        rows = [_make_row(job) for job in response["data"]]
+        self.show(response, table.format_table(HEADINGS, rows))
 
 
 def _make_row(job):
--- a/pimentowick/cli/jobs.py
+++ b/pimentowick/cli/jobs.py
@@ -1,23 +1,23 @@
-"""What the commands about batch jobs have in common."""
+"""Helpers for the job commands."""
 
 from pimentowick.cli import base
 
 __all__ = ["JOB_ARGUMENT", "fetch_job", "format_job", "show_job"]
 
-JOB_ARGUMENT = base.get_argument("job", "Id of the job, as submit printed it.")
+JOB_ARGUMENT = base.make_argument("job", "Id of the job, as submit printed it.")
 
 
-async def fetch_job(link, job_id):
-    """Return the description of a job.
+async def fetch_job(client, job_id):
+    """Fetch the state of a job.
 
     Raises:
-        CommandError: There is none, or no entry answered.
+        CommandError: The job doesn't exist or the request fails.
     """
-    return base.unwrap(await link.fetch_json("GET", f"/v1/batches/{job_id}"))
+    return base.unwrap(await client.fetch_json("GET", f"/v1/batches/{job_id}"))
 
 
 def format_job(job):
-    """Return one line about a job."""
+    """Format the status and item counts of a job in one line."""
     counts = job["request_counts"]
     late = ", late" if job["late"] else ""
     return (
@@ -28,5 +28,5 @@
 
 
 def show_job(command, job):
-    """Print a job."""
+    """Print the state of a job."""
     command.show(job, format_job(job))
--- a/pimentowick/cli/outcome.py
+++ b/pimentowick/cli/outcome.py
@@ -1,11 +1,11 @@
-"""How a command ends: its exit code, and why it failed."""
+"""Exit codes and failures of commands."""
 
 import dataclasses
 import enum
 
 from pimentowick import verdict
 
-__all__ = ["ExitCode", "Failure", "explain_refusal"]
+__all__ = ["ExitCode", "Failure", "make_refusal_failure"]
 
 
 class ExitCode(enum.IntEnum):
@@ -13,24 +13,24 @@
 
     OK = 0
     USAGE = 2
-    """The command line, a file or a setting is wrong; nothing was sent."""
+    """The command line, a file or a setting is invalid; nothing was sent."""
     REFUSED = 3
-    """The fleet refused, or another change came first; nothing was changed."""
+    """The request was refused or conflicts with another change; nothing changed."""
     UNKNOWN = 4
-    """It is not known whether the command took effect."""
+    """It is unknown whether the request took effect."""
     UNREACHABLE = 5
-    """No entry takes the request now; nothing was changed."""
+    """No entry can process the request at present; nothing changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a command has no result.
+    """Reason for which a command failed.
 
     Attributes:
         exit_code: `ExitCode`.
         code: Short stable identifier of the reason.
-        message: What happened, and what to do.
-        retry_after: Seconds after which a new try makes sense, or None.
+        message: Description of the failure and of a remedy.
+        retry_after: Seconds to wait before a retry, or None.
     """
 
     exit_code: ExitCode
@@ -39,7 +39,7 @@
     retry_after: float | None = None
 
     def to_dict(self):
-        """Return the JSON form that ``--json`` prints."""
+        """Return the object printed with ``--json``."""
         return {
             "error": {
                 "code": self.code,
@@ -50,12 +50,12 @@
         }
 
 
-def explain_refusal(refusal):
-    """Return the `Failure` for a refusal of the fleet.
+def make_refusal_failure(refusal):
+    """Convert a `pimentowick.verdict.Refusal` to a `Failure`.
 
     Examples:
         >>> refused = verdict.Refusal(503, "not_ready", "Try again.")
-        >>> explain_refusal(refused).exit_code.name
+        >>> make_refusal_failure(refused).exit_code.name
         'UNREACHABLE'
     """
     if refusal.verdict is not verdict.Verdict.NOT_RUN:
--- a/pimentowick/cli/publish.py
+++ b/pimentowick/cli/publish.py
@@ -1,4 +1,4 @@
-"""``pimentowick publish``: a new document."""
+"""``pimentowick publish``: publishes a new document."""
 
 from pimentowick.cli import base, documents
 
@@ -6,7 +6,7 @@
 
 
 class Publish(base.FleetCommand):
-    """Publishes a document that does not exist yet."""
+    """Publishes the first version of a document."""
 
     name = "publish"
     description = "Publish a new template, workspace or fleet document."
@@ -19,14 +19,14 @@
         documents.NAME_ARGUMENT,
         documents.FILE_ARGUMENT,
     ]
-    _own_options = (base.YES_OPTION,)
+    _command_options = (base.YES_OPTION,)
 
-    async def run_on(self, link):
-        """Show the body, ask, and publish it."""
+    async def run_with_client(self, client):
+        """Show the body, ask for confirmation and publish it."""
         kind, name = self.argument("kind"), self.argument("name")
         documents.check_kind(kind)
-        given = base.read_mapping(self.argument("file"))
-        body = await documents.fill_body(link, kind, given, None)
-        documents.show_difference(self, None, body)
-        documents.ask_to_publish(self, f"Publish this as {kind} {name}?")
-        await documents.put_document(self, link, kind, name, 0, body)
+        new_body = base.read_mapping(self.argument("file"))
+        body = await documents.complete_body(client, kind, new_body, None)
+        documents.show_diff(self, None, body)
+        documents.confirm_publish(self, f"Publish this as {kind} {name}?")
+        await documents.publish_document(self, client, kind, name, 0, body)
--- a/pimentowick/cli/reference.py
+++ b/pimentowick/cli/reference.py
@@ -1,4 +1,4 @@
-"""The reference of the settings, made from their models."""
+"""Generates the settings reference from the pydantic models."""
 
 import types
 import typing
@@ -10,7 +10,7 @@
 
 __all__ = ["format_reference"]
 
-HEAD = """# Settings
+PAGE_HEADER = """# Settings
 
 Made by `pimentowick settings reference > docs/SETTINGS.md`; a test keeps it so.
 Settings are YAML files, checked whole before anything starts: `pimentowick settings
@@ -34,8 +34,8 @@
 
 
 def format_reference():
-    """Return the page as Markdown."""
-    parts = [HEAD]
+    """Return the settings reference in Markdown."""
+    parts = [PAGE_HEADER]
     for title, model in SECTIONS:
         parts.append(_format_section(title, model))
     return "\n".join(parts).rstrip("\n")
@@ -63,21 +63,21 @@
 
 
 def _format_type(annotation):
-    """Return the name of a type as YAML users know it.
+    """Return the YAML name of a type.
 
     Examples:
         >>> _format_type(str | None), _format_type(list[int])
         ('string or absent', 'list of integer')
     """
-    names = {str: "string", int: "integer", float: "number", bool: "boolean"}
-    if annotation in names:
-        return names[annotation]
+    type_names = {str: "string", int: "integer", float: "number", bool: "boolean"}
+    if annotation in type_names:
+        return type_names[annotation]
     origin = typing.get_origin(annotation)
-    parts = typing.get_args(annotation)
+    type_arguments = typing.get_args(annotation)
     if origin is list:
-        return f"list of {_format_type(parts[0])}"
+        return f"list of {_format_type(type_arguments[0])}"
     if origin in (types.UnionType, typing.Union):
-        return " or ".join(map(_format_type, parts))
+        return " or ".join(map(_format_type, type_arguments))
     return "absent" if annotation is type(None) else "mapping"
 
 
@@ -93,9 +93,9 @@
 
 def _format_bounds(field):
     texts = [
-        f"{word} {getattr(item, attribute):g}"
-        for item in field.metadata
-        for kind, attribute, word in BOUNDS
-        if isinstance(item, kind)
+        f"{phrase} {getattr(constraint, attribute):g}"
+        for constraint in field.metadata
+        for constraint_type, attribute, phrase in BOUNDS
+        if isinstance(constraint, constraint_type)
     ]
     return ", ".join(texts)
--- a/pimentowick/cli/secret.py
+++ b/pimentowick/cli/secret.py
@@ -1,4 +1,4 @@
-"""Files that hold a token."""
+"""Writes token files."""
 
 import os
 
@@ -6,29 +6,29 @@
 
 __all__ = ["check_absent", "write_secret"]
 
-OWNER_ONLY = 0o600
+OWNER_ONLY_MODE = 0o600
 
 
 def check_absent(path):
-    """Refuse a file that exists: it may hold the only copy of another token.
+    """Check that a file doesn't exist, so that no other token is overwritten.
 
     Raises:
-        CommandError: It exists.
+        CommandError: The file exists.
     """
     if os.path.exists(path):
-        base.fail_usage(f"{path}: Exists. Name a new file.")
+        base.raise_usage_error(f"{path}: Exists. Name a new file.")
 
 
-def write_secret(path, text):
-    """Write a token into a new file that only its owner can read.
+def write_secret(path, token):
+    """Write a token to a new file that is readable only by its owner.
 
     Raises:
         CommandError: The file exists or can't be written.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
-        number = os.open(path, flags, OWNER_ONLY)
-        with os.fdopen(number, "w", encoding="utf-8") as file:
-            file.write(text + "\n")
+        descriptor = os.open(path, flags, OWNER_ONLY_MODE)
+        with os.fdopen(descriptor, "w", encoding="utf-8") as file:
+            file.write(token + "\n")
     except OSError as error:
-        base.fail_usage(f"{path}: {error.strerror}.")
+        base.raise_usage_error(f"{path}: {error.strerror}.")
--- a/pimentowick/cli/settings_check.py
+++ b/pimentowick/cli/settings_check.py
@@ -1,4 +1,4 @@
-"""``pimentowick settings check``: a settings file, without a fleet."""
+"""``pimentowick settings check``: validates a settings file offline."""
 
 from pimentowick import exception, settings, tls
 from pimentowick.cli import base
@@ -6,11 +6,11 @@
 
 __all__ = ["SettingsCheck"]
 
-MODELS = {"entry": settings.EntrySettings, "agent": settings.AgentSettings}
+SETTINGS_MODELS = {"entry": settings.EntrySettings, "agent": settings.AgentSettings}
 
 
 class SettingsCheck(base.OfflineCommand):
-    """Checks a settings file of an entry, an agent or a gateway."""
+    """Validates a settings file of an entry, an agent or a gateway."""
 
     name = "settings check"
     description = "Check a settings file; names each fault with its line."
@@ -20,29 +20,29 @@
         "pimentowick settings check gateway node.conf",
     )
     arguments = [
-        base.get_argument("role", "entry, agent or gateway."),
-        base.get_argument("file", "YAML file; for a gateway, the platform's file."),
+        base.make_argument("role", "entry, agent or gateway."),
+        base.make_argument("file", "YAML file; for a gateway, the platform's file."),
     ]
 
     def _run_command(self):
         if self.argument("role") == "gateway":
             self._check_gateway()
             return
-        model = MODELS.get(self.argument("role"))
+        model = SETTINGS_MODELS.get(self.argument("role"))
         if model is None:
-            base.fail_usage(
+            base.raise_usage_error(
                 f"{self.argument('role')}: Expected entry, agent or gateway."
             )
         try:
-            found = settings.load_settings(model, self.argument("file"))
-            tls.make_client_tls(found.tls)
+            loaded = settings.load_settings(model, self.argument("file"))
+            tls.make_client_tls(loaded.tls)
         except exception.SettingsError as error:
-            base.fail_usage(str(error))
-        self.show({"name": found.name}, f"{self.argument('file')} is fine.")
+            base.raise_usage_error(str(error))
+        self.show({"name": loaded.name}, f"{self.argument('file')} is fine.")
 
     def _check_gateway(self):
         try:
-            found = node.read_settings(self.argument("file"))
+            loaded = node.read_settings(self.argument("file"))
         except exception.SettingsError as error:
-            base.fail_usage(str(error))
-        self.show({"name": found.name}, f"{self.argument('file')} is fine.")
+            base.raise_usage_error(str(error))
+        self.show({"name": loaded.name}, f"{self.argument('file')} is fine.")
--- a/pimentowick/cli/settings_reference.py
+++ b/pimentowick/cli/settings_reference.py
@@ -1,4 +1,4 @@
-"""``pimentowick settings reference``: the page docs/SETTINGS.md."""
+"""``pimentowick settings reference``: generates docs/SETTINGS.md."""
 
 from pimentowick.cli import base, reference
 
@@ -6,7 +6,7 @@
 
 
 class SettingsReference(base.OfflineCommand):
-    """Prints all settings with defaults, units and bounds."""
+    """Prints all settings with types, defaults and bounds."""
 
     name = "settings reference"
     description = "Print the reference of all settings as Markdown."
--- a/pimentowick/cli/show.py
+++ b/pimentowick/cli/show.py
@@ -1,4 +1,4 @@
-"""``pimentowick show``: the document in force."""
+"""``pimentowick show``: shows the current version of a document."""
 
 import yaml
 
@@ -9,7 +9,7 @@
 
 
 class Show(base.FleetCommand):
-    """Shows the document in force."""
+    """Shows the current version of a document."""
 
     name = "show"
     description = "Show the version of a document that is in force."
@@ -19,10 +19,10 @@
     )
     arguments = [documents.KIND_ARGUMENT, documents.NAME_ARGUMENT]
 
-    async def run_on(self, link):
-        """Print version, author and body; never a salt or a whole hash."""
+    async def run_with_client(self, client):
+        """Print the document without salts and with truncated hashes."""
         document = await documents.fetch_document(
-            link, self.argument("kind"), self.argument("name")
+            client, self.argument("kind"), self.argument("name")
         )
-        shown = {**document, "body": change.hide_hashes(document["body"])}
-        self.show(shown, yaml.safe_dump(shown, allow_unicode=True).rstrip())
+        redacted = {**document, "body": change.hide_hashes(document["body"])}
+        self.show(redacted, yaml.safe_dump(redacted, allow_unicode=True).rstrip())
--- a/pimentowick/cli/table.py
+++ b/pimentowick/cli/table.py
@@ -1,14 +1,14 @@
-"""Tables of plain text."""
+"""Formats plain-text tables."""
 
 import datetime
 
-__all__ = ["format_notes", "format_table", "format_time"]
+__all__ = ["format_audit_records", "format_table", "format_time"]
 
-NOTE_HEADINGS = ("time", "kind", "name", "by", "client", "version", "outcome")
+AUDIT_HEADINGS = ("time", "kind", "name", "by", "client", "version", "outcome")
 
 
 def format_table(headings, rows):
-    """Return rows of texts below headings, in columns.
+    """Align headings and rows in columns.
 
     Examples:
         >>> print(format_table(("a", "bc"), [("long", 1)]))
@@ -25,8 +25,8 @@
     )
 
 
-def format_time(at):
-    """Return epoch seconds as UTC text; a dash for 0.
+def format_time(timestamp):
+    """Format seconds since the epoch in UTC; a dash stands for 0.
 
     Examples:
         >>> format_time(0)
@@ -34,26 +34,26 @@
         >>> format_time(86400.0)
         '1970-01-02 00:00:00Z'
     """
-    if not at:
+    if not timestamp:
         return "-"
-    moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
-    return moment.strftime("%Y-%m-%d %H:%M:%SZ")
+    utc_time = datetime.datetime.fromtimestamp(timestamp, datetime.UTC)
+    return utc_time.strftime("%Y-%m-%d %H:%M:%SZ")
 
 
-def format_notes(notes):
-    """Return the notes of the audit trail as a table."""
-    return format_table(NOTE_HEADINGS, [_make_row(note) for note in notes])
+def format_audit_records(records):
+    """Format audit records as a table."""
+    return format_table(AUDIT_HEADINGS, [_make_row(record) for record in records])
 
 
-def _make_row(note):
-    name = note["name"] or note["stream"]
-    versions = f"{note['version_before']} > {note['version_after']}"
+def _make_row(record):
+    name = record["name"] or record["stream"]
+    versions = f"{record['version_before']} > {record['version_after']}"
     return (
-        format_time(note["at"]),
-        note["kind"] or "-",
+        format_time(record["at"]),
+        record["kind"] or "-",
         name,
-        note["by"] or "-",
-        note["client"] or "-",
-        versions if note["version_after"] else "-",
-        "accepted" if note["accepted"] else f"refused: {note['reason']}",
+        record["by"] or "-",
+        record["client"] or "-",
+        versions if record["version_after"] else "-",
+        "accepted" if record["accepted"] else f"refused: {record['reason']}",
     )
--- a/pimentowick/cli/template_check.py
+++ b/pimentowick/cli/template_check.py
@@ -1,4 +1,4 @@
-"""``pimentowick template check``: a template, without a fleet."""
+"""``pimentowick template check``: validates a template offline."""
 
 import yaml
 
@@ -10,7 +10,7 @@
 
 
 class TemplateCheck(base.OfflineCommand):
-    """Checks a template and shows what a workspace of it would be."""
+    """Validates a template and prints the workspace that it renders."""
 
     name = "template check"
     description = "Check a template's file, and fill it in with parameters."
@@ -18,18 +18,18 @@
         "pimentowick template check organizador.yaml",
         "pimentowick template check organizador.yaml --parameter share=2",
     )
-    arguments = [base.get_argument("file", "YAML or JSON file; - for stdin.")]
-    _own_options = (
-        base.get_option("parameter", "name=value of a parameter.", multiple=True),
+    arguments = [base.make_argument("file", "YAML or JSON file; - for stdin.")]
+    _command_options = (
+        base.make_option("parameter", "name=value of a parameter.", multiple=True),
     )
 
     def _run_command(self):
         body = base.read_mapping(self.argument("file"))
         parameters = amend.parse_parameters(self.option("parameter"))
         try:
-            parsed = template.parse_template(body)
-            filled = template.render_workspace(parsed, parameters)
-            workspace.parse_workspace("check", 1, filled, {}, False)
+            parsed_template = template.parse_template(body)
+            rendered = template.render_workspace(parsed_template, parameters)
+            workspace.parse_workspace("check", 1, rendered, {}, False)
         except exception.ValidationError as error:
-            base.fail_usage(f"{self.argument('file')}: {error}.")
-        self.show({"workspace": filled}, yaml.safe_dump(filled).rstrip())
+            base.raise_usage_error(f"{self.argument('file')}: {error}.")
+        self.show({"workspace": rendered}, yaml.safe_dump(rendered).rstrip())
--- a/pimentowick/cli/token_make.py
+++ b/pimentowick/cli/token_make.py
@@ -1,4 +1,4 @@
-"""``pimentowick token make``: a token and its stored form, without a fleet."""
+"""``pimentowick token make``: generates a token and its salted hash offline."""
 
 import yaml
 
@@ -9,7 +9,7 @@
 
 
 class TokenMake(base.OfflineCommand):
-    """Makes a token; only its salted hash belongs into settings or documents."""
+    """Generates a token; settings and documents contain only its salted hash."""
 
     name = "token make"
     description = "Make a token, and print the entry for settings or documents."
@@ -17,16 +17,20 @@
         "pimentowick token make --name ada --output ada.token",
         "pimentowick token make --output caller.token --json",
     )
-    _own_options = (
-        base.get_option("name", "Name of the operator; absent for a workspace."),
-        base.get_option("output", "New file for the token, readable by its owner."),
+    _command_options = (
+        base.make_option("name", "Name of the operator; absent for a workspace."),
+        base.make_option("output", "New file for the token, readable by its owner."),
     )
 
     def _run_command(self):
         path = self.option("output")
         if path is None:
-            base.fail_usage("Give --output FILE; the token itself is never printed.")
-        text, entry = tokens.make_token(self.option("name") or "")
-        secret.write_secret(path, text)
-        data = entry.to_dict()
-        self.show({"entry": data, "output": path}, yaml.safe_dump([data]).rstrip())
+            base.raise_usage_error(
+                "Give --output FILE; the token itself is never printed."
+            )
+        token, stored_token = tokens.make_token(self.option("name") or "")
+        secret.write_secret(path, token)
+        document = stored_token.to_dict()
+        self.show(
+            {"entry": document, "output": path}, yaml.safe_dump([document]).rstrip()
+        )
--- a/pimentowick/cli/token_retire.py
+++ b/pimentowick/cli/token_retire.py
@@ -1,4 +1,4 @@
-"""``pimentowick token retire``: a token of a workspace opens nothing any more."""
+"""``pimentowick token retire``: revokes a token of a workspace."""
 
 from pimentowick.cli import base, documents
 
@@ -6,26 +6,28 @@
 
 
 class TokenRetire(base.FleetCommand):
-    """Takes a token from a workspace."""
+    """Removes a token from a workspace."""
 
     name = "token retire"
     description = "Take a token, named by its public id, from a workspace."
     examples = ("pimentowick token retire feria-norte 5f0c6a1be2d94c07 --yes",)
     arguments = [
-        base.get_argument("workspace", "Name of the workspace."),
-        base.get_argument("id", "Id of the token: its part before the dot."),
+        base.make_argument("workspace", "Name of the workspace."),
+        base.make_argument("id", "Id of the token: its part before the dot."),
     ]
-    _own_options = (base.YES_OPTION,)
+    _command_options = (base.YES_OPTION,)
 
-    async def run_on(self, link):
+    async def run_with_client(self, client):
         """Publish the workspace without the token."""
-        wanted = self.argument("id")
+        token_id = self.argument("id")
 
-        def drop_token(body):
-            kept = [each for each in body.get("tokens", []) if each["id"] != wanted]
-            if len(kept) == len(body.get("tokens", [])):
-                base.fail_usage(f"The workspace has no token {wanted}.")
-            return {**body, "tokens": kept}
+        def remove_token(body):
+            remaining = [
+                token for token in body.get("tokens", []) if token["id"] != token_id
+            ]
+            if len(remaining) == len(body.get("tokens", [])):
+                base.raise_usage_error(f"The workspace has no token {token_id}.")
+            return {**body, "tokens": remaining}
 
         name = self.argument("workspace")
-        await documents.change_workspace(self, link, name, drop_token)
+        await documents.edit_workspace(self, client, name, remove_token)
--- a/pimentowick/cli/trace.py
+++ b/pimentowick/cli/trace.py
@@ -1,4 +1,4 @@
-"""``pimentowick trace``: what the gateways' logs say of one id."""
+"""``pimentowick trace``: traces one id through the decision logs of gateways."""
 
 from pimentowick.cli import base
 from pimentowick.gateway import history
@@ -7,30 +7,36 @@
 
 
 class Trace(base.OfflineCommand):
-    """Puts the lines of one id in order and says the cause in a sentence."""
+    """Prints the log lines of an id in order of time, and the cause of its outcome."""
 
     name = "trace"
     description = "Trace a request, item or job through the gateways' logs."
     examples = ("pimentowick trace 51f0 front-1.log front-2.log",)
     arguments = [
-        base.get_argument("id", "Id of a request, an item or a job."),
-        base.get_argument("files", "Logs of gateways.", multiple=True),
+        base.make_argument("id", "Id of a request, an item or a job."),
+        base.make_argument("files", "Logs of gateways.", multiple=True),
     ]
 
     def _run_command(self):
-        lines = read_logs(self.argument("files"))[0]
-        own, around = history.find_related(lines, self.argument("id"))
-        cause = history.explain(own, around)
+        lines = read_decision_logs(self.argument("files"))[0]
+        id_lines, context_lines = history.find_related(lines, self.argument("id"))
+        cause = history.explain(id_lines, context_lines)
         rows = []
-        if own:
-            shown = sorted([*own, *around], key=lambda line: line.time)
-            rows = [line.to_text(shown[0].time) for line in shown]
+        if id_lines:
+            shown_lines = sorted(
+                [*id_lines, *context_lines], key=lambda line: line.time
+            )
+            rows = [line.to_text(shown_lines[0].time) for line in shown_lines]
         self.show({"cause": cause, "lines": rows}, "\n".join([*rows, cause]))
 
 
-def read_logs(paths):
-    """Return what `history.read_lines` does; end the command if a file is missing."""
+def read_decision_logs(paths):
+    """Read decision logs with `history.read_lines`.
+
+    Raises:
+        CommandError: A file can't be read.
+    """
     try:
         return history.read_lines(paths)
     except OSError as error:
-        base.fail_usage(str(error))
+        base.raise_usage_error(str(error))
--- a/pimentowick/cli/workspace_resume.py
+++ b/pimentowick/cli/workspace_resume.py
@@ -1,12 +1,12 @@
-"""``pimentowick workspace resume``: the opposite of ``workspace stop``."""
+"""``pimentowick workspace resume``: accepts requests of a stopped workspace."""
 
 from pimentowick.cli import workspaces
 
 __all__ = ["WorkspaceResume"]
 
 
-class WorkspaceResume(workspaces.SetStopped):
-    """Resumes a workspace."""
+class WorkspaceResume(workspaces.SetStoppedCommand):
+    """Sets ``stopped`` of a workspace to false."""
 
     name = "workspace resume"
     description = "Take requests of a stopped workspace again."
--- a/pimentowick/cli/workspace_stop.py
+++ b/pimentowick/cli/workspace_stop.py
@@ -1,12 +1,12 @@
-"""``pimentowick workspace stop``: amends ``stopped`` of a workspace."""
+"""``pimentowick workspace stop``: rejects the requests of a workspace."""
 
 from pimentowick.cli import workspaces
 
 __all__ = ["WorkspaceStop"]
 
 
-class WorkspaceStop(workspaces.SetStopped):
-    """Stops a workspace."""
+class WorkspaceStop(workspaces.SetStoppedCommand):
+    """Sets ``stopped`` of a workspace to true."""
 
     name = "workspace stop"
     description = "Refuse all requests of a workspace from now on."
--- a/pimentowick/cli/workspaces.py
+++ b/pimentowick/cli/workspaces.py
@@ -1,26 +1,26 @@
-"""Stopping workspaces and taking their requests again."""
+"""Base class of the commands that stop and resume a workspace."""
 
 from pimentowick.cli import base, documents
 
-__all__ = ["SetStopped"]
+__all__ = ["SetStoppedCommand"]
 
 
-class SetStopped(base.FleetCommand):
-    """Amends ``stopped`` of a workspace.
+class SetStoppedCommand(base.FleetCommand):
+    """Publishes a workspace with a new value of ``stopped``.
 
     Class attributes:
-        stopped: Its new value.
+        stopped: Value to publish.
     """
 
     stopped = False
-    arguments = [base.get_argument("workspace", "Name of the workspace.")]
-    _own_options = (base.YES_OPTION,)
+    arguments = [base.make_argument("workspace", "Name of the workspace.")]
+    _command_options = (base.YES_OPTION,)
 
-    async def run_on(self, link):
-        """Publish the change."""
+    async def run_with_client(self, client):
+        """Publish the workspace."""
 
         def set_stopped(body):
             return {**body, "stopped": self.stopped}
 
         name = self.argument("workspace")
-        await documents.change_workspace(self, link, name, set_stopped)
+        await documents.edit_workspace(self, client, name, set_stopped)
