--- a/pimentowick/cli/tests/test_trace.py
+++ b/pimentowick/cli/tests/test_trace.py
@@ -10,7 +10,9 @@
 
 ROOT = pathlib.Path(__file__).parents[3]
 PAGE = (ROOT / "docs" / "OPERATIONS.md").read_text(encoding="utf-8")
-SHOWN = re.findall(r"```text\n\$ (pimentowick trace .*)\n((?:.*\n)*?)```", PAGE)
+DOCUMENTED_TRACES = re.findall(
+    r"```text\n\$ (pimentowick trace .*)\n((?:.*\n)*?)```", PAGE
+)
 
 
 def run_command(words):
@@ -25,22 +27,23 @@
     return str(path)
 
 
-@pytest.mark.parametrize(("command", "printed"), SHOWN)
-def test_ways_from_an_id_to_its_cause_print_what_the_page_shows(
+@pytest.mark.parametrize(("command", "printed"), DOCUMENTED_TRACES)
+def test_trace_prints_the_examples_of_the_operations_page(
     command, printed, monkeypatch
 ):
     monkeypatch.chdir(ROOT)
-    code, found = run_command(command.split())
+    code, output = run_command(command.split())
     assert code == 0
-    assert found.rstrip() == printed.rstrip()
+    assert output.rstrip() == printed.rstrip()
 
 
-def test_page_shows_three_ways():
-    assert len(SHOWN) == 3
+def test_operations_page_has_three_trace_examples():
+    assert len(DOCUMENTED_TRACES) == 3
 
 
 def test_lines_of_several_processes_are_put_in_order(tmp_path):
-    # An item went on at another gateway; neither log alone says why it was late.
+    # An item is preempted at one gateway and finishes at another, so its history is
+    # spread over two logs.
     first = write_log(
         tmp_path,
         "front-1",
@@ -55,17 +58,17 @@
         '{"time":11.0,"event":"target.paused","target":"other","why":"closed"}',
         '12.5 front-9 {"time":99.0,"event":"gateway.stopped"}',
     )
-    lines, others = history.read_lines([second, first])
-    assert others == 1
-    own, around = history.find_related(lines, "i1")
-    assert [line.process for line in own] == ["front-1", "front-2"]
-    assert [line.event for line in around] == ["ownership.changed"]
-    assert "at 2 gateways" in history.explain(own, around)
-    assert history.find_related(lines, "j")[0] == own[1:]
+    lines, other_count = history.read_lines([second, first])
+    assert other_count == 1
+    id_lines, context_lines = history.find_related(lines, "i1")
+    assert [line.process for line in id_lines] == ["front-1", "front-2"]
+    assert [line.event for line in context_lines] == ["ownership.changed"]
+    assert "at 2 gateways" in history.explain(id_lines, context_lines)
+    assert history.find_related(lines, "j")[0] == id_lines[1:]
     assert lines[-1].process == "front-9"
 
 
-def make_online(outcome, status, **fields):
+def make_online_line(outcome, status, **fields):
     data = {
         "time": 1.0,
         "event": "online.ended",
@@ -89,22 +92,22 @@
 @pytest.mark.parametrize(
     ("line", "words"),
     [
-        (make_online("no_place", 503), "refused after 0.500 s without having run"),
-        (make_online("timeout", 504), "time was up after 0.500 s at target t1"),
-        (make_online("closed", 502), "answer was lost (closed); it may have run"),
+        (make_online_line("no_place", 503), "refused after 0.500 s without having run"),
+        (make_online_line("timeout", 504), "time was up after 0.500 s at target t1"),
+        (make_online_line("closed", 502), "answer was lost (closed); it may have run"),
         (
-            make_online("answered", 200, waited_s=0.1, first_s=0.3),
+            make_online_line("answered", 200, waited_s=0.1, first_s=0.3),
             "waited 0.100 s for a place, 0.200 s at the target",
         ),
     ],
 )
-def test_cause_is_said_in_a_sentence(line, words):
+def test_explanation_states_outcome_and_durations(line, words):
     assert words in history.explain([line], [])
 
 
-def test_request_of_a_gateway_that_was_killed_has_a_cause(tmp_path):
-    # A gateway is killed while a request is at a target. Its caller sees a closed
-    # connection; the line at the request's end was never written.
+def test_trace_explains_a_request_of_a_killed_gateway(tmp_path):
+    # A gateway is killed while a target processes a request, so the log has no
+    # `online.ended` line for it.
     path = write_log(
         tmp_path,
         "front-1",
@@ -112,16 +115,16 @@
         '"batch":3,"slots":8}',
         '{"time":12.5,"event":"gateway.started","host":"front-1"}',
     )
-    code, found = run_command(["pimentowick", "trace", "r", path])
+    code, output = run_command(["pimentowick", "trace", "r", path])
     assert code == 0
-    assert "Gateway front-1 ended while it was at target t1" in found
-    assert "may have run" in found
-    assert "2.500 s later" in found
+    assert "Gateway front-1 ended while it was at target t1" in output
+    assert "may have run" in output
+    assert "2.500 s later" in output
 
 
-def test_request_that_was_refused_by_a_gateway_not_ready_has_a_cause(tmp_path):
-    # All hosts lose power and are back. The first callers come before the gateway
-    # has read the configuration.
+def test_trace_explains_a_refusal_by_a_gateway_that_is_not_ready(tmp_path):
+    # After a power failure the gateway receives requests before it has read the
+    # configuration.
     path = write_log(
         tmp_path,
         "front-1",
@@ -129,19 +132,19 @@
         '{"time":10.2,"event":"caller.refused","id":"r","outcome":"not_ready",'
         '"status":503}',
     )
-    code, found = run_command(["pimentowick", "trace", "r", path])
+    code, output = run_command(["pimentowick", "trace", "r", path])
     assert code == 0
-    assert "refused with 503 without having run" in found
-    assert "knew no configuration yet" in found
-    assert "started 0.200 s before" in found
-    assert "job" not in found
+    assert "refused with 503 without having run" in output
+    assert "knew no configuration yet" in output
+    assert "started 0.200 s before" in output
+    assert "job" not in output
 
 
-def test_unknown_id_and_missing_file_are_said(tmp_path):
+def test_unknown_id_and_missing_file_are_reported(tmp_path):
     path = write_log(tmp_path, "a", '{"time":1.0,"event":"gateway.started"}')
-    code, found = run_command(["pimentowick", "trace", "nobody", path])
+    code, output = run_command(["pimentowick", "trace", "nobody", path])
     assert code == 0
-    assert "came to none of these processes" in found
+    assert "came to none of these processes" in output
     code, _ = run_command(["pimentowick", "trace", "x", str(tmp_path / "none")])
     assert code == 2
 
@@ -156,11 +159,11 @@
         '"status":503,"took_s":0.1}',
         "no decision",
     )
-    code, found = run_command(["pimentowick", "day", "show", path])
+    code, output = run_command(["pimentowick", "day", "show", path])
     assert code == 0
-    assert "no_place 1" in found
-    assert "1 other lines" in found
-    assert "lost_s=1.0" in found
+    assert "no_place 1" in output
+    assert "1 other lines" in output
+    assert "lost_s=1.0" in output
     empty = write_log(tmp_path, "empty")
     assert run_command(["pimentowick", "day", "show", empty])[1].strip() == (
         "no decisions"
