--- a/pimentowick/cli/outcome.py
+++ b/pimentowick/cli/outcome.py
@@ -54,8 +54,8 @@
     """Convert a `pimentowick.verdict.Refusal` to a `Failure`.
 
     Examples:
-        >>> refused = verdict.Refusal(503, "not_ready", "Try again.")
-        >>> make_refusal_failure(refused).exit_code.name
+        >>> refusal = verdict.Refusal(503, "not_ready", "Try again.")
+        >>> make_refusal_failure(refusal).exit_code.name
         'UNREACHABLE'
     """
     if refusal.verdict is not verdict.Verdict.NOT_RUN:
