--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -11,7 +11,7 @@
 from benchmarks import capacity_fit
 from pimentowick import settings
 from pimentowick.batch import intake, ledger, record, shard, writer
-from pimentowick.configuration import change, fold, tokens, workspace
+from pimentowick.configuration import change, state_machine, tokens, workspace
 from pimentowick.external import log as external_log
 
 __all__ = ["make_configuration", "measure_state"]
@@ -65,7 +65,9 @@
     rows = []
     for count in CONFIGURATION_SIZES:
         records = [orjson.dumps(each) for each in make_configuration(count)]
-        seconds, size, state = _apply_all(fold.ConfigurationFold, records)
+        seconds, size, state = _apply_all(
+            state_machine.ConfigurationStateMachine, records
+        )
         dump = len(orjson.dumps(state.dump()))
         rows.append((count, seconds, size, dump, sum(map(len, records))))
     return _print_rows(
@@ -214,7 +216,7 @@
 
 
 def _make_workspace():
-    use = workspace.ModelUse(max_tokens=512)
+    use = workspace.ModelPolicy(max_tokens=512)
     return types.SimpleNamespace(name="a", models={"model-0": use})
 
 
--- a/pimentowick/cli/show.py
+++ b/pimentowick/cli/show.py
@@ -24,5 +24,5 @@
         document = await documents.fetch_document(
             link, self.argument("kind"), self.argument("name")
         )
-        shown = {**document, "body": change.hide_hashes(document["body"])}
+        shown = {**document, "body": change.redact_hashes(document["body"])}
         self.show(shown, yaml.safe_dump(shown, allow_unicode=True).rstrip())
--- a/pimentowick/configuration/change.py
+++ b/pimentowick/configuration/change.py
@@ -5,7 +5,7 @@
 
 import yaml
 
-__all__ = ["diff_documents", "hide_hashes", "make_change"]
+__all__ = ["diff_documents", "make_change", "redact_hashes"]
 
 ID_BYTES = 16
 HASH_SHOWN = 8
@@ -67,11 +67,11 @@
 def _format_lines(body):
     if body is None:
         return []
-    text = yaml.safe_dump(hide_hashes(body), sort_keys=True, allow_unicode=True)
+    text = yaml.safe_dump(redact_hashes(body), sort_keys=True, allow_unicode=True)
     return text.splitlines()
 
 
-def hide_hashes(body):
+def redact_hashes(body):
     """Return a copy of a body without salts and with hashes cut short."""
     hidden = dict(body)
     for key in ("operators", "tokens"):
--- a/pimentowick/configuration/document.py
+++ b/pimentowick/configuration/document.py
@@ -8,7 +8,7 @@
 import pydantic
 
 from pimentowick import exception
-from pimentowick.configuration import border, tokens
+from pimentowick.configuration import tokens, validation
 
 __all__ = [
     "KINDS",
@@ -23,7 +23,7 @@
     "PlacedModel",
     "PlacedModelBody",
     "WorkspaceBody",
-    "make_entries",
+    "make_stored_tokens",
     "parse_envelope",
     "parse_fleet",
 ]
@@ -33,7 +33,7 @@
 """Type of a record that is kept for the audit trail and changes no document."""
 FLEET_NAME = "fleet"
 # The field of the same name hides the module within the class.
-EntryBody = tokens.EntryBody
+StoredTokenBody = tokens.StoredTokenBody
 BODY_LIMIT = 150_000
 """Bytes that a body may have as JSON, so that it fits one part of a dump."""
 
@@ -97,7 +97,7 @@
     """What holds for the whole fleet.
 
     Attributes:
-        operators: `tokens.Entry` by token id.
+        operators: `tokens.StoredToken` by token id.
         shards: Without effect; the settings of the entries count.
         models: `PlacedModel` by name; empty means that nothing is placed.
         max_loads: Most loads at once, for the sake of the weight store.
@@ -126,7 +126,7 @@
     adapters: dict = dataclasses.field(default_factory=dict)
 
 
-class Envelope(border.Model):
+class Envelope(validation.Model):
     """Border model of a record."""
 
     id: str = pydantic.Field(pattern=r"^[0-9a-f]{8,64}$")
@@ -134,34 +134,34 @@
     name: str = pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
     amends: int = pydantic.Field(ge=0)
     by: str = pydantic.Field(min_length=1, max_length=100)
-    at: float = pydantic.Field(ge=0, le=border.INTEGER_LIMIT)
+    at: float = pydantic.Field(ge=0, le=validation.MAX_SAFE_INTEGER)
     body: dict[str, typing.Any]
     client: str = pydantic.Field(default="", max_length=100)
 
 
-class OrderBody(border.Model):
+class OrderBody(validation.Model):
     """Border model of the body of an order to a host."""
 
     action: typing.Literal["drain"]
 
 
-class WorkspaceBody(border.Model):
+class WorkspaceBody(validation.Model):
     """Border model of the body of a workspace document."""
 
     template: str
     template_version: int
     parameters: dict[str, typing.Any] = {}
-    tokens: list[EntryBody] = []
+    tokens: list[StoredTokenBody] = []
     stopped: bool = False
 
 
-class OperatorBody(tokens.EntryBody):
+class OperatorBody(tokens.StoredTokenBody):
     """Border model of an operator's token entry."""
 
     name: str = pydantic.Field(min_length=1, max_length=100)
 
 
-class PlacedModelBody(border.Model):
+class PlacedModelBody(validation.Model):
     """Border model of a model that the engines are to load."""
 
     version: str = pydantic.Field(default="", max_length=200)
@@ -170,7 +170,7 @@
     adapters: dict[str, str] = {}
 
 
-class FleetBody(border.Model):
+class FleetBody(validation.Model):
     """Border model of the body of the fleet document."""
 
     operators: list[OperatorBody] = []
@@ -185,8 +185,8 @@
     Raises:
         exception.ValidationError: If the record lacks the documented form.
     """
-    border.check_json(record)
-    envelope = border.validate(Envelope, record)
+    validation.check_json(record)
+    envelope = validation.validate(Envelope, record)
     if envelope.type == FLEET_NAME and envelope.name != FLEET_NAME:
         raise exception.ValidationError(f"name: the fleet's is {FLEET_NAME!r}")
     if len(json.dumps(envelope.body)) > BODY_LIMIT:
@@ -210,19 +210,19 @@
     Raises:
         exception.ValidationError: If it lacks the documented form.
     """
-    parsed = border.validate(FleetBody, body)
+    parsed = validation.validate(FleetBody, body)
     models = {
         name: PlacedModel(**model.model_dump()) for name, model in parsed.models.items()
     }
     return Fleet(
-        make_entries(parsed.operators), parsed.shards, models, parsed.max_loads
+        make_stored_tokens(parsed.operators), parsed.shards, models, parsed.max_loads
     )
 
 
-def make_entries(bodies):
+def make_stored_tokens(bodies):
     """Return token entries by id from their border models."""
     entries = [
-        tokens.Entry(body.id, body.salt, body.hash, getattr(body, "name", ""))
+        tokens.StoredToken(body.id, body.salt, body.hash, getattr(body, "name", ""))
         for body in bodies
     ]
-    return tokens.index_entries(entries)
+    return tokens.index_tokens(entries)
--- a/pimentowick/configuration/fold.py
+++ b/pimentowick/configuration/state_machine.py
@@ -6,14 +6,14 @@
 import json
 
 from pimentowick import exception
-from pimentowick.configuration import border, document, template, tokens, workspace
+from pimentowick.configuration import document, template, tokens, validation, workspace
 from pimentowick.replication import fold
 
-__all__ = ["ConfigurationFold"]
+__all__ = ["ConfigurationStateMachine"]
 
-AUDIT_LIMIT = 2000
+MAX_AUDIT_ENTRIES = 2000
 """Notes that are kept."""
-SEEN_LIMIT = 20_000
+MAX_SEEN_IDS = 20_000
 """Record ids that are remembered."""
 PART_LIMIT = 200_000
 """Characters of one part of a dump."""
@@ -27,7 +27,7 @@
 DUPLICATE = "duplicate: the id was seen before"
 
 
-class ConfigurationFold(fold.Fold):
+class ConfigurationStateMachine(fold.Fold):
     """Templates, workspaces and fleet settings as the log has them.
 
     Attributes:
@@ -39,7 +39,7 @@
         audit: `document.AuditEntry` of the newest records, oldest first.
 
     Examples:
-        >>> state = ConfigurationFold()
+        >>> state = ConfigurationStateMachine()
         >>> record = {"id": "0a" * 8, "type": "fleet", "name": "fleet", "amends": 0}
         >>> record.update(by="ada", at=1.0, body={"shards": 4})
         >>> state.apply(1, record)
@@ -85,7 +85,7 @@
         """Return the `document.Document` in force, or None."""
         return self._documents.get((kind, name))
 
-    def find_record(self, record_id):
+    def find_audit_entry(self, record_id):
         """Return the `document.AuditEntry` of a record, or None.
 
         None means that the record was not applied yet, or so long ago that its
@@ -105,10 +105,10 @@
         return owner if entry else None
 
     def find_operator_by_token(self, text):
-        """Return the `tokens.Entry` of the operator with this token, or None."""
+        """Return the `tokens.StoredToken` of the operator with this token, or None."""
         return tokens.check_token(text, self.fleet.operators)
 
-    def documents_since(self, version):
+    def list_documents_since(self, version):
         """Return the documents in force newer than `version`, oldest first."""
         found = [item for item in self._documents.values() if item.version > version]
         return sorted(found, key=lambda item: item.version)
@@ -132,7 +132,7 @@
             exception.ValidationError: If `parts` is not a whole dump; the state
                 then stays as it was.
         """
-        loaded = ConfigurationFold()
+        loaded = ConfigurationStateMachine()
         try:
             loaded._fill(parts)
         except (AttributeError, KeyError, TypeError, IndexError) as error:
@@ -172,7 +172,7 @@
         current = self.get_document(new.kind, new.name)
         _check_amends(current, amends)
         if new.kind == document.ORDER:
-            border.validate(document.OrderBody, new.body)
+            validation.validate(document.OrderBody, new.body)
             return
         self._put(new)
         self.version = offset
@@ -195,9 +195,9 @@
         self._template_documents[new.name, new.version] = new
 
     def _put_workspace(self, new):
-        body = border.validate(document.WorkspaceBody, new.body)
+        body = validation.validate(document.WorkspaceBody, new.body)
         filled = self._render(body)
-        entries = document.make_entries(body.tokens)
+        entries = document.make_stored_tokens(body.tokens)
         self._check_owners(new.name, entries)
         made = workspace.parse_workspace(
             new.name, new.version, filled, entries, body.stopped
@@ -271,7 +271,7 @@
         self.audit.append(entry)
         if entry.id and entry.reason != DUPLICATE:
             self._outcomes[entry.id] = entry
-        if len(self.audit) > AUDIT_LIMIT:
+        if len(self.audit) > MAX_AUDIT_ENTRIES:
             self._forget(self.audit.popleft())
 
     def _forget(self, entry):
@@ -281,7 +281,7 @@
     def _remember(self, record_id):
         self._seen.add(record_id)
         self._seen_order.append(record_id)
-        if len(self._seen_order) > SEEN_LIMIT:
+        if len(self._seen_order) > MAX_SEEN_IDS:
             self._seen.discard(self._seen_order.popleft())
 
 
@@ -317,7 +317,7 @@
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return 0.0
     # False for NaN as well, which would make equal states differ.
-    return float(value) if abs(value) <= border.INTEGER_LIMIT else 0.0
+    return float(value) if abs(value) <= validation.MAX_SAFE_INTEGER else 0.0
 
 
 def _get_token_id(text):
--- a/pimentowick/configuration/template.py
+++ b/pimentowick/configuration/template.py
@@ -4,14 +4,14 @@
 import typing
 
 from pimentowick import exception
-from pimentowick.configuration import border
+from pimentowick.configuration import validation
 
 __all__ = [
     "Parameter",
     "TemplateBody",
-    "fit_parameters",
     "parse_template",
     "render_workspace",
+    "resolve_parameters",
 ]
 
 RENDERED_LIMIT = 1_000_000
@@ -30,7 +30,7 @@
 BOUNDED_TYPES = frozenset({"integer", "number"})
 
 
-class Parameter(border.Model):
+class Parameter(validation.Model):
     """One parameter of a template.
 
     Attributes:
@@ -48,7 +48,7 @@
     help: str = ""
 
 
-class TemplateBody(border.Model):
+class TemplateBody(validation.Model):
     """Body of a template document.
 
     Attributes:
@@ -70,7 +70,7 @@
         exception.ValidationError: If it lacks the documented form, a default
             does not fit its parameter, or a placeholder names no parameter.
     """
-    parsed = border.validate(TemplateBody, body)
+    parsed = validation.validate(TemplateBody, body)
     for name, parameter in parsed.parameters.items():
         _check_declaration(name, parameter)
     for name in _find_placeholders(parsed.workspace):
@@ -82,7 +82,7 @@
     return parsed
 
 
-def fit_parameters(template_body, parameters):
+def resolve_parameters(template_body, parameters):
     """Return the value of each parameter, defaults filled in.
 
     Args:
@@ -145,7 +145,7 @@
         pimentowick.exception.ValidationError: parameter size: expected at most 9, \
 got 70
     """
-    values = fit_parameters(template_body, parameters)
+    values = resolve_parameters(template_body, parameters)
     return _Renderer(values).render_tree(template_body.workspace)
 
 
--- a/pimentowick/configuration/tests/test_fold.py
+++ b/pimentowick/configuration/tests/test_state_machine.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies
 
 from pimentowick import exception
-from pimentowick.configuration import fold, tokens
+from pimentowick.configuration import state_machine, tokens
 
 SETTINGS = hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
 TEMPLATE = {
@@ -47,14 +47,14 @@
 
 
 def fold_records(records, first=1):
-    state = fold.ConfigurationFold()
+    state = state_machine.ConfigurationStateMachine()
     for offset, record in enumerate(records, first):
         state.apply(offset, record)
     return state
 
 
 def copy_state(state):
-    copied = fold.ConfigurationFold()
+    copied = state_machine.ConfigurationStateMachine()
     copied.load(json.loads(json.dumps(state.dump())))
     return copied
 
@@ -105,8 +105,8 @@
 
     If the two differed, hosts would serve a customer by different settings.
     """
-    whole = fold.ConfigurationFold()
-    other = fold.ConfigurationFold()
+    whole = state_machine.ConfigurationStateMachine()
+    other = state_machine.ConfigurationStateMachine()
     for offset, record in enumerate(records):
         if offset == cut:
             other = copy_state(other)
@@ -123,7 +123,7 @@
     A version that fell back, or two winners over one version, would undo a
     change without anyone seeing it.
     """
-    state = fold.ConfigurationFold()
+    state = state_machine.ConfigurationStateMachine()
     won = set()
     for offset, record in enumerate(records, 1):
         before = state.version
@@ -153,7 +153,7 @@
     Applying them twice would fill the audit with false duplicates.
     """
     once = fold_records(records)
-    again = fold.ConfigurationFold()
+    again = state_machine.ConfigurationStateMachine()
     for offset, record in enumerate(records, 1):
         again.apply(offset, record)
         back = choose.randint(1, offset)
@@ -175,12 +175,12 @@
     """
     records = [make_record(n, "template", "small", 0, TEMPLATE) for n in (1, 2)]
     state = fold_records(records)
-    found = state.find_record(records[1]["id"])
+    found = state.find_audit_entry(records[1]["id"])
     assert not found.accepted
     assert found.reason.startswith("conflict: version 1 by ada")
     assert records[0]["id"] in found.reason
-    assert state.find_record(records[0]["id"]).accepted
-    assert state.find_record("unknown") is None
+    assert state.find_audit_entry(records[0]["id"]).accepted
+    assert state.find_audit_entry("unknown") is None
 
 
 def test_duplicate_hides_no_outcome_and_stays_void():
@@ -193,8 +193,8 @@
     records = [early, make_record(2, "template", "small", 0, TEMPLATE), early]
     state = fold_records(records)
     assert state.workspaces == {}
-    assert state.audit[-1].reason == fold.DUPLICATE
-    assert "template small version 2" in state.find_record(early["id"]).reason
+    assert state.audit[-1].reason == state_machine.DUPLICATE
+    assert "template small version 2" in state.find_audit_entry(early["id"]).reason
 
 
 def test_offset_zero_is_rejected():
@@ -217,7 +217,7 @@
     assert state.workspaces["one"].max_jobs_open == 9
     state.apply(6, make_record(6, "workspace", "two", 0, make_body(1)))
     assert "expected one of the versions [4]" in state.audit[-1].reason
-    assert [item.version for item in state.documents_since(4)] == [5]
+    assert [item.version for item in state.list_documents_since(4)] == [5]
 
 
 def test_tokens_rotate_without_a_gap_and_belong_to_one():
@@ -266,7 +266,7 @@
 
     The memory of the readers must stay bounded, and the copies stay equal.
     """
-    monkeypatch.setattr(fold, "SEEN_LIMIT", 3000)
+    monkeypatch.setattr(state_machine, "MAX_SEEN_IDS", 3000)
     wide = make_record(0, "template", "wide", 0, {"workspace": {"a": "x" * 140_000}})
     records = [wide]
     choose = random.Random(3)
@@ -274,7 +274,7 @@
         repeated = choose.randint(0, number)
         records.append(make_record(repeated, "workspace", "one", 0, make_body(1)))
     state = fold_records(records)
-    assert len(state.audit) == fold.AUDIT_LIMIT
+    assert len(state.audit) == state_machine.MAX_AUDIT_ENTRIES
     assert len(state._seen) <= 3000
     assert max(len(json.dumps(part)) for part in state.dump()) < 210_000
     assert_equal(state, copy_state(state))
--- a/pimentowick/configuration/tokens.py
+++ b/pimentowick/configuration/tokens.py
@@ -8,14 +8,14 @@
 import pydantic
 
 from pimentowick import exception
-from pimentowick.configuration import border
+from pimentowick.configuration import validation
 
 __all__ = [
     "SEPARATOR",
-    "Entry",
-    "EntryBody",
+    "StoredToken",
+    "StoredTokenBody",
     "check_token",
-    "index_entries",
+    "index_tokens",
     "make_token",
 ]
 
@@ -25,7 +25,7 @@
 SEPARATOR = "."
 
 
-class EntryBody(border.Model):
+class StoredTokenBody(validation.Model):
     """Border model of a token entry in a document."""
 
     id: str = pydantic.Field(pattern=r"^[A-Za-z0-9_-]{4,64}$")
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entry:
+class StoredToken:
     """What is stored of a token.
 
     Attributes:
@@ -59,7 +59,7 @@
 
 # Compared with when the id is unknown, so that the time of an answer doesn't
 # tell whether the id exists.
-_ABSENT = Entry("absent", "00" * SALT_BYTES, "0" * 64)
+_ABSENT = StoredToken("absent", "00" * SALT_BYTES, "0" * 64)
 
 
 def make_token(name=""):
@@ -69,7 +69,7 @@
         name: Name of the holder, for the token of an operator.
 
     Returns:
-        The text of the token, to be shown once, and its `Entry`.
+        The text of the token, to be shown once, and its `StoredToken`.
 
     Examples:
         >>> text, entry = make_token()
@@ -81,7 +81,7 @@
     token_id = secrets.token_hex(ID_BYTES)
     secret = secrets.token_urlsafe(SECRET_BYTES)
     salt = secrets.token_hex(SALT_BYTES)
-    entry = Entry(token_id, salt, _hash_secret(salt, secret), name)
+    entry = StoredToken(token_id, salt, _hash_secret(salt, secret), name)
     return f"{token_id}{SEPARATOR}{secret}", entry
 
 
@@ -93,10 +93,10 @@
 
     Args:
         text: Text of the token as the caller sent it.
-        entries_by_id: Mapping from token id to `Entry`.
+        entries_by_id: Mapping from token id to `StoredToken`.
 
     Returns:
-        The `Entry`, or None if the token is not valid.
+        The `StoredToken`, or None if the token is not valid.
     """
     if not isinstance(text, str):
         return None
@@ -108,7 +108,7 @@
     return entry if is_equal else None
 
 
-def index_entries(entries):
+def index_tokens(entries):
     """Return the entries by their ids.
 
     Raises:
--- a/pimentowick/configuration/border.py
+++ b/pimentowick/configuration/validation.py
@@ -6,11 +6,11 @@
 
 from pimentowick import exception
 
-__all__ = ["DEPTH_LIMIT", "INTEGER_LIMIT", "Model", "check_json", "validate"]
+__all__ = ["MAX_NESTING_DEPTH", "MAX_SAFE_INTEGER", "Model", "check_json", "validate"]
 
-DEPTH_LIMIT = 32
+MAX_NESTING_DEPTH = 32
 """Levels of nesting that a value may have."""
-INTEGER_LIMIT = 2**53
+MAX_SAFE_INTEGER = 2**53
 """Largest absolute value of an integer that every JSON reader keeps exactly."""
 SHOWN_LENGTH = 60
 """Characters of a wrong value that an error shows."""
@@ -73,8 +73,10 @@
     pending = [(value, 0)]
     while pending:
         current, depth = pending.pop()
-        if depth > DEPTH_LIMIT:
-            raise exception.ValidationError(f"nested deeper than {DEPTH_LIMIT} levels")
+        if depth > MAX_NESTING_DEPTH:
+            raise exception.ValidationError(
+                f"nested deeper than {MAX_NESTING_DEPTH} levels"
+            )
         if isinstance(current, dict):
             for key in current:
                 _check_key(key)
@@ -95,7 +97,7 @@
     if value is None or isinstance(value, bool):
         return
     if isinstance(value, int):
-        if abs(value) > INTEGER_LIMIT:
+        if abs(value) > MAX_SAFE_INTEGER:
             raise exception.ValidationError("an integer is beyond 2**53")
     elif isinstance(value, float):
         if not math.isfinite(value):
--- a/pimentowick/configuration/workspace.py
+++ b/pimentowick/configuration/workspace.py
@@ -5,9 +5,9 @@
 
 import pydantic
 
-from pimentowick.configuration import border
+from pimentowick.configuration import validation
 
-__all__ = ["ModelUse", "ServiceUse", "Workspace", "parse_workspace"]
+__all__ = ["ModelPolicy", "ServicePolicy", "Workspace", "parse_workspace"]
 
 Key = typing.Annotated[str, pydantic.Field(min_length=1, max_length=200)]
 Seconds = typing.Annotated[float, pydantic.Field(gt=0, le=86_400)]
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ModelUse:
+class ModelPolicy:
     """How a workspace uses a model.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceUse:
+class ServicePolicy:
     """How a workspace uses a service.
 
     Attributes:
@@ -52,13 +52,13 @@
         name: Name of the workspace.
         version: Version of its document.
         weight: Share of the fleet relative to the other workspaces.
-        models: `ModelUse` by model name; others are refused.
-        services: `ServiceUse` by service name; others are refused.
+        models: `ModelPolicy` by model name; others are refused.
+        services: `ServicePolicy` by service name; others are refused.
         max_online_concurrent: Most online requests at a time.
         batch_harm: "averse" or "throughput". Nothing reads it: the agent's setting of
             this name counts. The key stays because templates in the log may have it.
         max_jobs_open: Most batch jobs that are not finished.
-        tokens: `tokens.Entry` by token id.
+        tokens: `tokens.StoredToken` by token id.
         stopped: Whether all its requests are refused.
     """
 
@@ -74,19 +74,19 @@
     stopped: bool = False
 
 
-class _ModelTree(border.Model):
+class _ModelTree(validation.Model):
     adapters: list[Key] = []
     deadline_s: Seconds = 30.0
     max_tokens: Count = 4096
 
 
-class _ServiceTree(border.Model):
+class _ServiceTree(validation.Model):
     idempotent: bool = False
     deadline_s: Seconds = 10.0
     max_concurrent: Count | None = None
 
 
-class _WorkspaceTree(border.Model):
+class _WorkspaceTree(validation.Model):
     weight: float = pydantic.Field(default=1.0, gt=0, le=1000)
     models: dict[Key, _ModelTree] = {}
     services: dict[Key, _ServiceTree] = {}
@@ -102,7 +102,7 @@
         name: Name of the workspace.
         version: Version of its document.
         rendered_tree: What `template.render_workspace` returned.
-        tokens: Mapping from token id to `tokens.Entry`.
+        tokens: Mapping from token id to `tokens.StoredToken`.
         stopped: Whether its requests are refused.
 
     Raises:
@@ -114,7 +114,7 @@
         >>> parse_workspace("acme", 3, tree, {}, False).models["m"].max_tokens
         9
     """
-    parsed = border.validate(_WorkspaceTree, rendered_tree, "workspace")
+    parsed = validation.validate(_WorkspaceTree, rendered_tree, "workspace")
     return Workspace(
         name=name,
         version=version,
@@ -130,8 +130,8 @@
 
 
 def _make_model(use):
-    return ModelUse(tuple(use.adapters), use.deadline_s, use.max_tokens)
+    return ModelPolicy(tuple(use.adapters), use.deadline_s, use.max_tokens)
 
 
 def _make_service(use):
-    return ServiceUse(use.idempotent, use.deadline_s, use.max_concurrent)
+    return ServicePolicy(use.idempotent, use.deadline_s, use.max_concurrent)
--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -11,7 +11,7 @@
 import urllib.parse
 
 from pimentowick import web as http_web
-from pimentowick.configuration import fold as configuration_fold
+from pimentowick.configuration import state_machine as configuration_state_machine
 from pimentowick.entry import handler
 
 __all__ = ["AuditHandler", "CallerAuditHandler", "Query", "collect_notes"]
@@ -56,7 +56,8 @@
     """Return the notes that fit as dictionaries, oldest first.
 
     Args:
-        configuration: `pimentowick.configuration.fold.ConfigurationFold`.
+        configuration: A
+            `pimentowick.configuration.state_machine.ConfigurationStateMachine`.
         shards: The `pimentowick.batch.shard.Shard` to look at.
         query: The `Query`.
     """
@@ -71,7 +72,7 @@
 def _describe_change(entry):
     workspace = entry.name if entry.kind == "workspace" else ""
     return {
-        "stream": configuration_fold.STREAM,
+        "stream": configuration_state_machine.STREAM,
         **dataclasses.asdict(entry),
         "workspace": workspace,
     }
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -13,7 +13,7 @@
 from pimentowick import web as http_web
 from pimentowick.batch import call as batch_call
 from pimentowick.batch import carry, dispatch, ownership, shard, writer
-from pimentowick.configuration import fold as configuration_fold
+from pimentowick.configuration import state_machine as configuration_state_machine
 from pimentowick.configuration import tokens
 from pimentowick.entry import (
     audit,
@@ -60,7 +60,8 @@
         state: ``starting``, ``ready``, ``draining`` while readiness fails but
             requests are still taken, then ``stopping``.
         stop_orders: `pimentowick.daemon.StopOrders` that end the process.
-        configuration: The `pimentowick.configuration.fold.ConfigurationFold`.
+        configuration: The
+            `pimentowick.configuration.state_machine.ConfigurationStateMachine`.
     """
 
     def __init__(self, settings):
@@ -82,9 +83,9 @@
         # must not wait for it.
         self.forward_client = http_client.Client(settings.max_online, peers)
         log, hosts = self._make_platform()
-        self.configuration = configuration_fold.ConfigurationFold()
+        self.configuration = configuration_state_machine.ConfigurationStateMachine()
         self.configuration_replica = replica.Replica(
-            log, configuration_fold.STREAM, self.configuration
+            log, configuration_state_machine.STREAM, self.configuration
         )
         self.watch = watch.ConfigurationWatch(self.configuration_replica)
         self.fleet = membership_fleet.Fleet(
@@ -114,7 +115,7 @@
         self.calls = batch_call.CallBook(settings, self.owner)
         self.router = self._make_router()
         self._operators = {
-            entry.id: tokens.Entry(entry.id, entry.salt, entry.hash, entry.name)
+            entry.id: tokens.StoredToken(entry.id, entry.salt, entry.hash, entry.name)
             for entry in settings.operators
         }
         self._server = http_web.Server(
@@ -314,10 +315,10 @@
             # The first record of the stream can't be a version; see
             # docs/CONFIGURATION.md.
             await follower.append(
-                [{"type": configuration_fold.OPENING}], self.settings.append_s
+                [{"type": configuration_state_machine.OPENING}], self.settings.append_s
             )
         await follower.append([record], self.settings.append_s)
-        return self.configuration.find_record(record["id"])
+        return self.configuration.find_audit_entry(record["id"])
 
     async def count_in_force(self, version, wait):
         """Return at how many entries a version is in force."""
--- a/pimentowick/entry/handler.py
+++ b/pimentowick/entry/handler.py
@@ -188,7 +188,7 @@
     """Handles requests of operators.
 
     Attributes:
-        operator: `pimentowick.configuration.tokens.Entry` of the operator.
+        operator: `pimentowick.configuration.tokens.StoredToken` of the operator.
     """
 
     def prepare(self):
--- a/pimentowick/fakes/platform_site.py
+++ b/pimentowick/fakes/platform_site.py
@@ -77,7 +77,7 @@
         stop_grace_s=4.0,
         drain_s=2.0,
         result_retention_s=60.0,
-        least_lease_s=1.0,
+        min_lease_s=1.0,
         record_bytes=262_144,
         call_bytes=2_097_152,
         parts=8,
--- a/pimentowick/gateway/authentication.py
+++ b/pimentowick/gateway/authentication.py
@@ -65,7 +65,7 @@
         """Return the `workspace.Workspace` of a request, or None without one.
 
         Args:
-            call: The `pimentowick.platform.message.Call` of its headers.
+            call: The `pimentowick.platform.message.RequestHeaders` of its headers.
             is_public: Whether it needs no key.
 
         Raises:
--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -98,7 +98,7 @@
     def _find_partition(self, job_id):
         number = zlib.crc32(job_id.encode()) % (TOPICS * self._parts)
         topic, part = divmod(number, self._parts)
-        return platform_store.keyed_topic(f"contents{topic}"), part
+        return platform_store.make_topic_name(f"contents{topic}"), part
 
     async def put(self, job_id, named, timeout_s):
         """Write some contents of a job, again and again until they are written.
@@ -242,7 +242,7 @@
         try:
             page = await hedging.hedge(
                 lambda: self._store.read(
-                    topic, part, group[0].offset, most_kb=math.ceil(size / KILOBYTE)
+                    topic, part, group[0].offset, max_kb=math.ceil(size / KILOBYTE)
                 )
             )
         except exception.LogTruncatedError:
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -38,9 +38,9 @@
 
 METRICS_PORT = 9464
 EXIT_SETTINGS = 2
-JOBS_TOPIC = store.keyed_topic("jobs")
-OUTCOMES_TOPIC = store.keyed_topic("outcomes")
-ENTRIES_TOPIC = store.keyed_topic("entries")
+JOBS_TOPIC = store.make_topic_name("jobs")
+OUTCOMES_TOPIC = store.make_topic_name("outcomes")
+ENTRIES_TOPIC = store.make_topic_name("entries")
 # Pauses between two reads of a busy topic: below the times within which a change
 # has to be in force, and as long as they allow, since each read is paid for.
 CONFIGURATION_PAUSE_S = 0.05
@@ -144,7 +144,7 @@
             # killed stay its own until the lease ends, and under a new name it would
             # have none of them for three seconds. Nothing else can use the address.
             address,
-            settings.least_lease_s,
+            settings.min_lease_s,
             self._note_parts,
             self.neighbours.get_newest_renewal,
         )
@@ -172,7 +172,7 @@
         self.authentication = authentication.Authentication(
             self.configuration,
             self._feeds["configuration"],
-            settings.revoke_s,
+            settings.key_revocation_s,
             lambda: self.ownership.is_cut_off,
         )
         self._peer_configuration = peer_configuration.PeerConfiguration(
@@ -315,7 +315,7 @@
     def reload(self):
         """Read the settings file again; what is under way goes on."""
         try:
-            found = node.read_settings(node.find_path())
+            found = node.read_settings(node.find_settings_path())
         except exception.SettingsError as error:
             decision.note_belief("settings.unreadable", why=str(error))
             return
@@ -414,7 +414,7 @@
         refusal = request.refused
         self.metrics.count_refusal(refusal, request.workspace)
         if refusal.code not in LOGGED_CODES:
-            call = message.decode_call(request.headers)
+            call = message.decode_request_headers(request.headers)
             decision.note_request(
                 "caller.refused",
                 call.request_id,
@@ -461,7 +461,7 @@
     """Run an entry until it is told to stop."""
     decision.configure()
     try:
-        settings = node.read_settings(node.find_path())
+        settings = node.read_settings(node.find_settings_path())
     except exception.SettingsError as error:
         decision.note_belief("settings.unreadable", why=str(error))
         sys.exit(EXIT_SETTINGS)
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -40,7 +40,7 @@
         Raises:
             RefusedError: The request is refused.
         """
-        call = message.decode_call(request.headers)
+        call = message.decode_request_headers(request.headers)
         current = self._configuration.current
         if current is None:
             raise exception.RefusedError(
@@ -51,7 +51,7 @@
                     retry_after=NOT_READY_RETRY_S,
                 )
             )
-        job_call = message.find_batch_call(request.method, request.path)
+        job_call = message.find_job_operation(request.method, request.path)
         if job_call is not None:
             is_public = current.has_public_batch(request.host)
             caller = await self._identify(request, call, is_public)
@@ -133,11 +133,11 @@
     async def _serve_job(self, request, call, caller, wanted, job_id):
         name = None if caller is None else caller.name
         job_id = workspace.scope_job_id(name, job_id)
-        if wanted == message.BatchCall.END:
+        if wanted == message.JobOperation.END:
             await self._job_api.end(request, job_id)
-        elif wanted == message.BatchCall.READ:
+        elif wanted == message.JobOperation.READ:
             await self._job_api.read_results(request, job_id, call)
-        elif wanted == message.BatchCall.BODY:
+        elif wanted == message.JobOperation.BODY:
             await self._job_api.read_body(request, job_id)
         else:
             raise exception.RefusedError(
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -85,7 +85,7 @@
         """Take the head; see `upstream.Sink`."""
         self.status = status
         self.heard_at = time.monotonic()
-        if not answer.signed or answer.encoded:
+        if not answer.is_signed or answer.has_encoding:
             self.in_order = False
 
     async def take_chunk(self, chunk):
@@ -120,7 +120,7 @@
     """
     made = run.transcript
     sink = Sink(made)
-    headers = message.encode_item(
+    headers = message.encode_item_headers(
         run.item, len(made.body), run.job, RUN_LIMIT_S, target.id, made.last_event
     )
     request = upstream.Request(run.item.id, "POST", run.item.path, headers, made.body)
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -43,7 +43,7 @@
         Args:
             exchange: The `pimentowick.gateway.exchange.Exchange`.
             found: The `pimentowick.gateway.route.Route`.
-            call: The `message.Call` of its headers.
+            call: The `message.RequestHeaders` of its headers.
             caller: The `pimentowick.gateway.workspace.Workspace`, or None without one.
         """
         owner = None if caller is None else caller.name
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -191,7 +191,7 @@
             for change, unsettled in zip(batch, before, strict=True):
                 change.unsettled = unsettled
             raise
-        except (platform_store.ChangedError, platform_store.UncertainError):
+        except (platform_store.OffsetConflictError, platform_store.UnknownOutcomeError):
             await self.feed.refresh()
             # Nothing is settled before the records that came instead are read: one
             # of them may be a former append of the same change.
@@ -294,7 +294,10 @@
 
     Nothing was done only if none of them did anything.
     """
-    for kind in (platform_store.ChangedError, platform_store.UncertainError):
+    for kind in (
+        platform_store.OffsetConflictError,
+        platform_store.UnknownOutcomeError,
+    ):
         for error in errors:
             if isinstance(error, kind):
                 return error
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -49,7 +49,7 @@
     Args:
         store: `pimentowick.platform.store.Store`.
         member: Name of the entry in the group, the same after each start.
-        least_lease_s: Shortest lease that the store takes, in seconds.
+        min_lease_s: Shortest lease that the store takes, in seconds.
         on_change: Function called when other parts are dealt.
         get_others_renewal: Function that returns the monotonic time at which the newest
             lease of another entry was renewed.
@@ -60,10 +60,10 @@
         is_alone: Whether others reach the store, and this entry did not.
     """
 
-    def __init__(self, store, member, least_lease_s, on_change, get_others_renewal):
+    def __init__(self, store, member, min_lease_s, on_change, get_others_renewal):
         self._store = store
         self._member = member
-        self._lease_s = max(LEASE_S, least_lease_s)
+        self._lease_s = max(LEASE_S, min_lease_s)
         self._on_change = on_change
         self._get_others_renewal = get_others_renewal
         self.renewed_at = None
@@ -125,7 +125,9 @@
     @property
     def is_cut_off(self):
         """Whether this entry alone does not reach the store."""
-        return self._reachability.is_cut_off(time.monotonic(), self._store.reached_at)
+        return self._reachability.is_cut_off(
+            time.monotonic(), self._store.last_contact_at
+        )
 
     def _note_failure(self, error):
         if not self._reachability.has_failed:
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -70,7 +70,7 @@
         Args:
             exchange: The `exchange.Exchange`.
             found: The `route.Route`.
-            call: The `message.Call` that its headers make.
+            call: The `message.RequestHeaders` that its headers make.
             version: Version of the configuration that chose the route.
             workspace: The caller's `pimentowick.gateway.workspace.Workspace`, or None.
             keyed: Whether callers have keys, which no target may see.
@@ -183,7 +183,7 @@
         self._progress.been_at.add(target.id)
         self._sink.begin()
         resumed_at = self._sink.last_event if self._exchange.started else None
-        headers = message.encode_request(
+        headers = message.encode_request_headers(
             self._exchange.headers,
             left_s,
             target.id,
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -43,7 +43,10 @@
         self.status = status
         self.headers = headers
         self.passing = (
-            self._streaming and status == 200 and answer.signed and not answer.encoded
+            self._streaming
+            and status == 200
+            and answer.is_signed
+            and not answer.has_encoding
         )
 
     async def take_chunk(self, chunk):
@@ -62,7 +65,7 @@
         self._note_pause()
         if not self._exchange.started:
             self.first_at = time.monotonic()
-            headers = message.drop_hop_headers(self.headers)
+            headers = message.remove_hop_headers(self.headers)
             headers.pop("Content-Length", None)
             await self._exchange.start(self.status, headers, data)
             return
@@ -100,7 +103,7 @@
 
     async def deliver(self):
         """Send what was held, a whole plain answer."""
-        headers = message.drop_hop_headers(self.headers)
+        headers = message.remove_hop_headers(self.headers)
         body = b"".join(self.held)
         headers.pop("Content-Length", None)
         await self._exchange.answer(self.status, headers, body)
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -266,7 +266,7 @@
         assert (await submit(site, KEY)).status == 503
         assert "r2" not in server.runs
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_suspended_host_does_not_take_its_configuration_for_new():
@@ -280,7 +280,7 @@
         feed.clock = lambda: clock() + 6.0
         assert (await send(site)).status == 503
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_held_read_proves_the_moment_at_which_it_was_asked():
@@ -309,7 +309,7 @@
         gateway.authentication._is_cut_off = lambda: True
         assert not gateway.is_ready
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_no_key_is_in_the_log():
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -441,7 +441,7 @@
         found = cut.ownership._reachability
         found.see_others = lambda now, others_renewed_at: False
         found._passed_at, found._is_proved = time.monotonic(), True
-        cut.store.reached_at = float("-inf")
+        cut.store.last_contact_at = float("-inf")
         answer = await asyncio.wait_for(submit(site, make_body(2)), 5)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) < 0.1
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -13,14 +13,14 @@
     def __init__(self):
         self.refusals = 0
         self.refused = 0
-        self.reached_at = float("-inf")
+        self.last_contact_at = float("-inf")
 
     async def join(self, group, member, topic, lease_s, generation):
         if self.refusals > 0:
             self.refusals -= 1
             self.refused += 1
             raise store.RejectedError("away")
-        return store.Dealt(1, frozenset({1, 2}))
+        return store.PartitionAssignment(1, frozenset({1, 2}))
 
 
 def run_cut_off(get_others_renewal, refusals, until):
@@ -80,7 +80,7 @@
     # A third of the answers to writes are lost for some seconds, so that two renewals
     # in a row bring none. What runs here goes on: the store has renewed the lease.
     def get_others_renewal(outside):
-        outside.reached_at = time.monotonic() + 60
+        outside.last_contact_at = time.monotonic() + 60
         return math.inf
 
     found = run_cut_off(get_others_renewal, 1000, is_refused_often)
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -13,7 +13,7 @@
 def run_with(check, entries=2):
     async def run():
         async with platform_site.open_site(
-            [replica.Replica()], [CHAT], entries, [TENANT], revoke_s=5.0
+            [replica.Replica()], [CHAT], entries, [TENANT], key_revocation_s=5.0
         ) as site:
             if entries > 1:
                 heard = [found.neighbours.list_heard for found in site.gateways]
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -92,7 +92,7 @@
 
     @abc.abstractmethod
     async def take_head(self, status, headers, answer):
-        """Take status, headers and the `message.Answer` that they make."""
+        """Take status, headers and the `message.ResponseHeaders` that they make."""
 
     @abc.abstractmethod
     async def take_chunk(self, chunk):
@@ -131,20 +131,20 @@
         if 100 <= start_line.code < 200:
             return
         self.status = start_line.code
-        self.answer = message.decode_answer(start_line.code, headers)
+        self.answer = message.decode_response_headers(start_line.code, headers)
         self.framed = (
             "Content-Length" in headers
             or "Transfer-Encoding" in headers
             or start_line.code in (204, 304)
         )
         # Refusals need not name the request.
-        nameless = self.answer.not_run and not self.answer.request_id
+        nameless = self.answer.not_executed and not self.answer.request_id
         self.stray = self.answer.request_id != self._request_id and not nameless
-        if not self.stray and not self.answer.not_run:
+        if not self.stray and not self.answer.not_executed:
             await self._sink.take_head(start_line.code, headers, self.answer)
 
     async def data_received(self, chunk):
-        if not self.stray and not self.answer.not_run:
+        if not self.stray and not self.answer.not_executed:
             await self._sink.take_chunk(chunk)
 
     def finish(self):
@@ -184,7 +184,7 @@
             reader.finished
             and reader.framed
             and not reader.stray
-            and not reader.answer.closing
+            and not reader.answer.closes_connection
             # A target that answers early reads on: other bytes must not follow.
             and written.done()
             and not self.stream.closed()
@@ -201,17 +201,17 @@
             return Outcome(End.CUT, "no_answer")
         if reader.stray:
             return Outcome(End.CUT, "answer_to_another_request", reader.status)
-        if answer.misdirected:
+        if answer.is_misdirected:
             return Outcome(End.NOT_RUN, "misdirected", reader.status)
-        if answer.not_run:
+        if answer.not_executed:
             return Outcome(End.NOT_RUN, "target_refused", reader.status)
         if not reader.finished:
             return Outcome(End.CUT, "cut_short", reader.status)
         if not reader.framed and self.stream.error is not None:
             return Outcome(End.CUT, "reset", reader.status)
-        if not answer.signed:
+        if not answer.is_signed:
             return Outcome(End.CUT, "unsigned", reader.status)
-        if answer.encoded:
+        if answer.has_encoding:
             return Outcome(End.CUT, "encoded", reader.status)
         return Outcome(End.WHOLE, "answered", reader.status)
 
--- a/pimentowick/placement/order.py
+++ b/pimentowick/placement/order.py
@@ -5,7 +5,7 @@
 
 import pydantic
 
-from pimentowick.configuration import border
+from pimentowick.configuration import validation
 
 __all__ = ["Order", "Status", "parse_order"]
 
@@ -63,9 +63,9 @@
     error: str = ""
 
 
-class _OrderModel(border.Model):
+class _OrderModel(validation.Model):
     id: str = pydantic.Field(min_length=8, max_length=64)
-    fence: int = pydantic.Field(ge=1, le=border.INTEGER_LIMIT)
+    fence: int = pydantic.Field(ge=1, le=validation.MAX_SAFE_INTEGER)
     boot: str
     action: typing.Literal["fence", "load", "unload"]
     kind: typing.Literal["model", "adapter"] = "model"
@@ -84,4 +84,4 @@
         Order(id='00000000', fence=2, boot='b', action='fence', kind='model', name='', \
 version='')
     """
-    return Order(**border.validate(_OrderModel, data, "order").model_dump())
+    return Order(**validation.validate(_OrderModel, data, "order").model_dump())
--- a/pimentowick/platform/message.py
+++ b/pimentowick/platform/message.py
@@ -14,18 +14,18 @@
 from pimentowick.gateway import job
 
 __all__ = [
-    "Answer",
-    "BatchCall",
-    "Call",
+    "JobOperation",
     "ListedResult",
-    "decode_answer",
-    "decode_call",
+    "RequestHeaders",
+    "ResponseHeaders",
+    "decode_request_headers",
+    "decode_response_headers",
     "decode_submission",
-    "drop_hop_headers",
-    "encode_item",
-    "encode_request",
+    "encode_item_headers",
+    "encode_request_headers",
     "encode_results",
-    "find_batch_call",
+    "find_job_operation",
+    "remove_hop_headers",
 ]
 
 REQUEST_ID = "X-Pimentowick-Request-Id"
@@ -57,7 +57,7 @@
 MISDIRECTED = 421
 
 
-class BatchCall(enum.StrEnum):
+class JobOperation(enum.StrEnum):
     """What a caller wants of a batch job."""
 
     READ = "read"
@@ -72,14 +72,14 @@
 
 # The wire calls a batch job a lot.
 BATCH_CALLS = {
-    ("GET", "lots"): BatchCall.READ,
-    ("GET", "items"): BatchCall.BODY,
-    ("DELETE", "lots"): BatchCall.END,
+    ("GET", "lots"): JobOperation.READ,
+    ("GET", "items"): JobOperation.BODY,
+    ("DELETE", "lots"): JobOperation.END,
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Call:
+class RequestHeaders:
     """What a request's headers say.
 
     Attributes:
@@ -99,27 +99,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseHeaders:
     """What the headers of a target's answer say.
 
     Attributes:
         request_id: Identifier of the request that it answers, or "".
-        signed: Whether the target's signature is there.
-        not_run: Whether the target states that the request did not run.
-        misdirected: Whether another target has the address now.
+        is_signed: Whether the target's signature is there.
+        not_executed: Whether the target states that the request did not run.
+        is_misdirected: Whether another target has the address now.
         load: Running requests, waiting ones and slots, or None.
-        encoded: Whether the body is in an encoding that nobody asked for.
-        closing: Whether the connection ends with the answer.
+        has_encoding: Whether the body is in an encoding that nobody asked for.
+        closes_connection: Whether the connection ends with the answer.
         idle_s: Seconds that the target keeps the connection idle, or None.
     """
 
     request_id: str
-    signed: bool
-    not_run: bool
-    misdirected: bool
+    is_signed: bool
+    not_executed: bool
+    is_misdirected: bool
     load: tuple | None
-    encoded: bool
-    closing: bool
+    has_encoding: bool
+    closes_connection: bool
     idle_s: float | None
 
 
@@ -130,11 +130,11 @@
         return None
 
 
-def decode_call(headers):
-    """Return the `Call` that a client's headers make."""
+def decode_request_headers(headers):
+    """Return the `RequestHeaders` that a client's headers make."""
     deadline = _read_number(headers, DEADLINE)
     wait = _read_number(headers, WAIT)
-    return Call(
+    return RequestHeaders(
         request_id=headers.get(REQUEST_ID, ""),
         deadline_s=None if deadline is None else deadline / 1000,
         wait_s=0.0 if wait is None else wait / 1000,
@@ -154,7 +154,7 @@
     return "" if " " in key else key
 
 
-def encode_request(
+def encode_request_headers(
     headers, left_s, target_id, length, last_event=None, workspace=None, keyed=False
 ):
     """Return the headers for a target from those of a client.
@@ -193,7 +193,7 @@
     return found
 
 
-def encode_item(item, size, found, left_s, target_id, last_event=None):
+def encode_item_headers(item, size, found, left_s, target_id, last_event=None):
     """Return the headers for a target from those of an item of a batch job.
 
     Args:
@@ -209,22 +209,22 @@
         headers.add(name, value)
     headers["Host"] = found.host
     headers[REQUEST_ID] = item.id
-    return encode_request(
+    return encode_request_headers(
         headers, left_s, target_id, size, last_event, found.workspace, keyed=True
     )
 
 
-def decode_answer(status, headers):
-    """Return what the head of a target's answer says, an `Answer`."""
+def decode_response_headers(status, headers):
+    """Return what the head of a target's answer says, an `ResponseHeaders`."""
     keep_alive = re.search(r"timeout=(\d+)", headers.get("Keep-Alive", ""))
-    return Answer(
+    return ResponseHeaders(
         request_id=headers.get(REQUEST_ID, ""),
-        signed=STAMP in headers,
-        not_run=NOT_EXECUTED in headers or status == MISDIRECTED,
-        misdirected=status == MISDIRECTED,
+        is_signed=STAMP in headers,
+        not_executed=NOT_EXECUTED in headers or status == MISDIRECTED,
+        is_misdirected=status == MISDIRECTED,
         load=_decode_load(headers.get(LOAD)),
-        encoded=headers.get("Content-Encoding", "identity") != "identity",
-        closing="close" in headers.get("Connection", "").lower(),
+        has_encoding=headers.get("Content-Encoding", "identity") != "identity",
+        closes_connection="close" in headers.get("Connection", "").lower(),
         idle_s=float(keep_alive.group(1)) if keep_alive else None,
     )
 
@@ -237,7 +237,7 @@
     return running, waiting, slots
 
 
-def drop_hop_headers(headers):
+def remove_hop_headers(headers):
     """Return an answer's headers without those of its connection."""
     dropped = HOP - {"content-length"}
     dropped |= {
@@ -284,20 +284,20 @@
     return items, bodies
 
 
-def find_batch_call(method, path):
-    """Return (`BatchCall`, job id) of a call about a batch job, or None.
+def find_job_operation(method, path):
+    """Return (`JobOperation`, job id) of a call about a batch job, or None.
 
     Examples:
-        >>> find_batch_call("GET", "/-/lots/7c41")
-        (<BatchCall.READ: 'read'>, '7c41')
-        >>> find_batch_call("PUT", "/-/items/7c41")
-        (<BatchCall.UNKNOWN: 'unknown'>, '7c41')
+        >>> find_job_operation("GET", "/-/lots/7c41")
+        (<JobOperation.READ: 'read'>, '7c41')
+        >>> find_job_operation("PUT", "/-/items/7c41")
+        (<JobOperation.UNKNOWN: 'unknown'>, '7c41')
     """
     found = BATCH_PATH.match(path)
     if found is None:
         return None
     collection, job_id = found.groups()
-    return BATCH_CALLS.get((method, collection), BatchCall.UNKNOWN), job_id
+    return BATCH_CALLS.get((method, collection), JobOperation.UNKNOWN), job_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/pimentowick/platform/node.py
+++ b/pimentowick/platform/node.py
@@ -13,7 +13,7 @@
 
 from pimentowick import exception
 
-__all__ = ["NodeSettings", "find_path", "read_settings"]
+__all__ = ["NodeSettings", "find_settings_path", "read_settings"]
 
 PATH_VARIABLE = "PIMENTOWICK_NODE_FILE"
 DEFAULT_PATH = "/etc/pimentowick/settings.conf"
@@ -34,12 +34,12 @@
         stop_grace_s: Seconds from SIGTERM until SIGKILL.
         drain_s: Seconds after which a leaving target gets no new work.
         result_retention_s: Seconds after its submission that a job stays readable.
-        least_lease_s: Shortest lease that the store's groups take, in seconds.
+        min_lease_s: Shortest lease that the store's groups take, in seconds.
         record_bytes: Largest record of the store.
         call_bytes: Most bytes of the records of one append.
         parts: Partitions of a topic.
-        revoke_s: Seconds within which a key that was taken away is out of force at all
-            hosts, in touch with the store or not; None if that isn't asked.
+        key_revocation_s: Seconds within which every host must reject a revoked key,
+            even a host that cannot reach the store; None if there is no bound.
         link_mbps: What the host's link carries, in megabits a second.
     """
 
@@ -53,12 +53,12 @@
     stop_grace_s: float
     drain_s: float
     result_retention_s: float
-    least_lease_s: float
+    min_lease_s: float
     record_bytes: int
     call_bytes: int
     parts: int
     link_mbps: float = 1000.0
-    revoke_s: float | None = None
+    key_revocation_s: float | None = None
 
 
 class _Fields(pydantic.BaseModel):
@@ -94,7 +94,7 @@
     return "\n".join(rows)
 
 
-def find_path():
+def find_settings_path():
     """Return the path of the settings file."""
     return os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
 
@@ -132,10 +132,10 @@
         stop_grace_s=fields.grace_s,
         drain_s=fields.drain_ms / 1000,
         result_retention_s=fields.status_s,
-        least_lease_s=fields.ttl_min_ms / 1000,
+        min_lease_s=fields.ttl_min_ms / 1000,
         record_bytes=fields.record_bytes,
         call_bytes=fields.call_bytes,
         parts=fields.parts,
         link_mbps=fields.link_mbps,
-        revoke_s=fields.revoke_ms / 1000 if fields.strict_revoke else None,
+        key_revocation_s=fields.revoke_ms / 1000 if fields.strict_revoke else None,
     )
--- a/pimentowick/platform/operator.py
+++ b/pimentowick/platform/operator.py
@@ -20,9 +20,9 @@
     "decode_target",
 ]
 
-CONFIGURATION_TOPIC = store.keyed_topic("op")
+CONFIGURATION_TOPIC = store.make_topic_name("op")
 CONFIGURATION_KEY = "config"
-TARGETS_TOPIC = store.keyed_topic("servers")
+TARGETS_TOPIC = store.make_topic_name("servers")
 KINDS = {
     "idempotent": route.Kind.IDEMPOTENT,
     "non_idempotent": route.Kind.ONCE,
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -18,14 +18,14 @@
 from pimentowick import client, exception
 
 __all__ = [
-    "ChangedError",
-    "Dealt",
     "KeyedRecord",
+    "OffsetConflictError",
     "Page",
+    "PartitionAssignment",
     "RejectedError",
     "Store",
-    "UncertainError",
-    "keyed_topic",
+    "UnknownOutcomeError",
+    "make_topic_name",
 ]
 
 LENGTH = struct.Struct(">I")
@@ -44,11 +44,11 @@
     """The store did nothing."""
 
 
-class UncertainError(exception.LogError):
+class UnknownOutcomeError(exception.LogError):
     """The store gave no answer; a write may have taken effect, or may do so late."""
 
 
-class ChangedError(exception.LogError):
+class OffsetConflictError(exception.LogError):
     """The partition does not end where a conditional append expected it.
 
     Attributes:
@@ -86,18 +86,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dealt:
+class PartitionAssignment:
     """What a group deals to a member: a generation and partition numbers."""
 
     generation: int
     parts: frozenset
 
 
-def keyed_topic(name):
+def make_topic_name(name):
     """Return the wire's name of a keyed topic.
 
     Examples:
-        >>> keyed_topic("jobs")
+        >>> make_topic_name("jobs")
         'keyed.jobs'
     """
     return f"keyed.{name}"
@@ -151,8 +151,8 @@
     Attributes:
         calls: Number of calls sent, by name.
         bytes: Bytes of bodies, by name of the call and direction, out or in.
-        reached_at: Monotonic time at which the newest call was sent that the store has
-            served.
+        last_contact_at: Monotonic time at which the latest call that the store served
+            was sent.
     """
 
     def __init__(self, address, timeout_s=1.5):
@@ -160,7 +160,7 @@
         self.timeout_s = timeout_s
         self.calls = collections.Counter()
         self.bytes = collections.Counter()
-        self.reached_at = float("-inf")
+        self.last_contact_at = float("-inf")
         self._client = client.Client(max_connections=MAX_CALLS)
 
     async def start(self):
@@ -178,9 +178,9 @@
             The offset behind the last record.
 
         Raises:
-            ChangedError: The partition ends elsewhere.
+            OffsetConflictError: The partition ends elsewhere.
             RejectedError: Nothing was done.
-            UncertainError: The outcome is not known.
+            UnknownOutcomeError: The outcome is not known.
         """
         query = {"topic": topic, "part": part}
         if at is not None:
@@ -188,11 +188,11 @@
         body = b"".join(_encode_record(record) for record in records)
         answer = await self._call("POST", "/-/log-append", query, body)
         if answer.status == 412:
-            raise ChangedError(_read_integer(answer, "end"))
+            raise OffsetConflictError(_read_integer(answer, "end"))
         self._check(answer)
         return _read_integer(answer, "end")
 
-    async def read(self, topic, part, offset, wait_s=0.0, most_kb=None):
+    async def read(self, topic, part, offset, wait_s=0.0, max_kb=None):
         """Return the `Page` of records from `offset` on.
 
         Args:
@@ -200,7 +200,7 @@
             part: Number of the partition.
             offset: Offset of the first record wanted.
             wait_s: How long the store may hold the call while there is none.
-            most_kb: Most kilobytes of records wanted; the store's own limit without.
+            max_kb: Most kilobytes of records wanted; the store's own limit without.
 
         Raises:
             LogTruncatedError: The records are gone; read the newest of each key.
@@ -212,8 +212,8 @@
             "from": offset,
             "wait_ms": int(wait_s * 1000),
         }
-        if most_kb is not None:
-            query["max_kb"] = most_kb
+        if max_kb is not None:
+            query["max_kb"] = max_kb
         answer = await self._call("GET", "/-/log-read", query, wait_s=wait_s)
         if answer.status == 410:
             raise exception.LogTruncatedError(f"{topic}: {offset} is gone.")
@@ -221,7 +221,7 @@
             return Page([], offset, offset)
         self._check(answer)
         if len(answer.body) < HEAD.size:
-            raise UncertainError("The page is too short.")
+            raise UnknownOutcomeError("The page is too short.")
         page = _decode_page(answer.body, offset)
         if page.log_end < offset:
             # The log never shrinks: another partition has taken its place.
@@ -291,7 +291,7 @@
             after = data["items"][-1]["key"]
 
     async def join(self, group, member, topic, lease_s, generation):
-        """Join a group or stay in it; return what is `Dealt` to the member."""
+        """Join or renew membership of a group; return the `PartitionAssignment`."""
         data = {
             "group": group,
             "member": member,
@@ -303,7 +303,7 @@
         self._check(answer)
         found = answer.decode()
         parts = frozenset(row[1] for row in found["parts"])
-        return Dealt(found["generation"], parts)
+        return PartitionAssignment(found["generation"], parts)
 
     async def leave(self, group, member):
         """Give all partitions back at once."""
@@ -314,7 +314,7 @@
         sent_at = time.monotonic()
         answer = await self._send(method, path, query, body, wait_s)
         if answer.status in SERVED:
-            self.reached_at = max(self.reached_at, sent_at)
+            self.last_contact_at = max(self.last_contact_at, sent_at)
         return answer
 
     async def _send(self, method, path, query, body, wait_s):
@@ -335,7 +335,7 @@
                 method, self.address, target, body, timeout_s=timeout_s
             )
         except client.TransportError as error:
-            raise UncertainError(str(error)) from error
+            raise UnknownOutcomeError(str(error)) from error
 
     async def _read(self, target, silent_s):
         # Given up on after a time, all of a topic would never get through a link
@@ -350,13 +350,13 @@
             return
         if answer.status in (429, 503, 507):
             raise RejectedError(f"The store answered {answer.status}.")
-        raise UncertainError(f"The store answered {answer.status}.")
+        raise UnknownOutcomeError(f"The store answered {answer.status}.")
 
 
 def _read_integer(answer, name):
     value = answer.decode().get(name)
     if not isinstance(value, int):
-        raise UncertainError(f"The store's answer has no {name}.")
+        raise UnknownOutcomeError(f"The store's answer has no {name}.")
     return value
 
 
--- a/pimentowick/platform/tests/test_store.py
+++ b/pimentowick/platform/tests/test_store.py
@@ -53,7 +53,7 @@
     # The connection falls silent in the middle of an answer.
     async def check(outside, client):
         outside.board.place(faults.Order("stall", path="/-/log-"))
-        with pytest.raises(store.UncertainError):
+        with pytest.raises(store.UnknownOutcomeError):
             await read(client)
 
     run_with(check)
@@ -66,7 +66,7 @@
         outside.board.place(faults.Order("slow", seconds=TIMEOUT_S * 1.5))
         records = [store.KeyedRecord("k", b"x" * 600_000)]
         assert await client.append("keyed.t", 0, records, 4) == 5
-        with pytest.raises(store.UncertainError):
+        with pytest.raises(store.UnknownOutcomeError):
             await client.append("keyed.t", 0, [store.KeyedRecord("k", b"x")], 5)
 
     run_with(check)
--- a/pimentowick/routing/tests/test_limits.py
+++ b/pimentowick/routing/tests/test_limits.py
@@ -9,7 +9,7 @@
 
 def test_calls_to_a_service_are_bounded_for_each_workspace():
     """Guards against one workspace occupying a service with concurrent calls."""
-    uses = {"desk": workspace.ServiceUse(max_concurrent=1)}
+    uses = {"desk": workspace.ServicePolicy(max_concurrent=1)}
     first, second = (workspace.Workspace(n, 1, services=uses) for n in ("a", "b"))
     concurrency = limits.ConcurrencyLimits(max_online=10)
     with concurrency.acquire_call(first, "desk"):
