--- a/pimentowick/configuration/__init__.py
+++ b/pimentowick/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Templates and workspaces, folded from the configuration stream."""
+"""Configuration documents, and the state machine that replays their log stream."""
--- a/pimentowick/configuration/change.py
+++ b/pimentowick/configuration/change.py
@@ -1,4 +1,4 @@
-"""Changes of documents: the records that ask for them, and their differences."""
+"""Change records of configuration documents, and diffs of their bodies."""
 
 import difflib
 import secrets
@@ -8,23 +8,23 @@
 __all__ = ["diff_documents", "make_change", "redact_hashes"]
 
 ID_BYTES = 16
-HASH_SHOWN = 8
+SHOWN_HASH_CHARS = 8
 
 
 def make_change(kind, name, amends, by, body, at, client=""):
-    """Build the record that asks for a change of a document.
+    """Build the log record that requests a change of a document.
 
     Args:
         kind: "template", "workspace", "fleet" or "order".
         name: Name of the document.
-        amends: Version that the change was made from, 0 for a new document.
+        amends: Version that the change is based on; 0 for a new document.
         by: Name of the operator.
         body: New body of the document.
         at: Time of the change in seconds since the epoch.
-        client: Address that the change was asked from, if known.
+        client: Address of the client that requested the change, if known.
 
     Returns:
-        The record, with a random id by which its outcome can be found.
+        The record, with a random id that identifies its audit entry.
 
     Examples:
         >>> make_change("fleet", "fleet", 0, "ada", {"shards": 8}, 5.0)["amends"]
@@ -43,28 +43,29 @@
 
 
 def diff_documents(old_body, new_body):
-    """Return the differences of two bodies as readable lines.
+    """Return a unified diff of two document bodies.
 
-    Salts are left out and hashes cut short, so that the lines can be shown.
+    Salts are omitted and hashes truncated, so that the diff is safe to display.
 
     Args:
-        old_body: Body before, or None if there was none.
-        new_body: Body after.
+        old_body: Previous body, or None for a new document.
+        new_body: New body.
 
     Returns:
-        Lines of a unified diff of the sorted YAML forms; empty if equal.
+        Lines of a unified diff of the bodies as YAML with sorted keys; empty if the
+        bodies are equal.
 
     Examples:
         >>> diff_documents({"shards": 8}, {"shards": 9})[-2:]
         ['-shards: 8', '+shards: 9']
     """
-    old_lines = _format_lines(old_body)
-    new_lines = _format_lines(new_body)
+    old_lines = _dump_yaml_lines(old_body)
+    new_lines = _dump_yaml_lines(new_body)
     lines = difflib.unified_diff(old_lines, new_lines, "old", "new", lineterm="")
     return list(lines)
 
 
-def _format_lines(body):
+def _dump_yaml_lines(body):
     if body is None:
         return []
     text = yaml.safe_dump(redact_hashes(body), sort_keys=True, allow_unicode=True)
@@ -72,15 +73,15 @@
 
 
 def redact_hashes(body):
-    """Return a copy of a body without salts and with hashes cut short."""
-    hidden = dict(body)
+    """Return a copy of a body without salts and with truncated hashes."""
+    redacted = dict(body)
     for key in ("operators", "tokens"):
-        if key in hidden:
-            hidden[key] = [_hide_entry(entry) for entry in hidden[key]]
-    return hidden
+        if key in redacted:
+            redacted[key] = [_redact_entry(entry) for entry in redacted[key]]
+    return redacted
 
 
-def _hide_entry(entry):
-    shown = {key: value for key, value in entry.items() if key != "salt"}
-    shown["hash"] = entry["hash"][:HASH_SHOWN]
-    return shown
+def _redact_entry(entry):
+    redacted = {key: value for key, value in entry.items() if key != "salt"}
+    redacted["hash"] = entry["hash"][:SHOWN_HASH_CHARS]
+    return redacted
--- a/pimentowick/configuration/document.py
+++ b/pimentowick/configuration/document.py
@@ -1,4 +1,4 @@
-"""Documents of the configuration, and the records that change them."""
+"""Configuration documents, audit entries, and the schemas of their records."""
 
 import copy
 import dataclasses
@@ -30,26 +30,27 @@
 
 KINDS = ("template", "workspace", "fleet")
 ORDER = "order"
-"""Type of a record that is kept for the audit trail and changes no document."""
+"""Type of a record that is only audited and changes no document."""
 FLEET_NAME = "fleet"
-# The field of the same name hides the module within the class.
+# Within `WorkspaceBody`, the field `tokens` shadows the module.
 StoredTokenBody = tokens.StoredTokenBody
-BODY_LIMIT = 150_000
-"""Bytes that a body may have as JSON, so that it fits one part of a dump."""
+MAX_BODY_BYTES = 150_000
+"""Maximum size of a body as JSON, so that it fits one part of a snapshot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """A version of a document.
+    """One version of a document.
 
     Attributes:
         kind: One of `KINDS`.
         name: Name of the document.
-        version: Offset of the record that made this version.
+        version: Offset of the record that created this version.
         id: Id of that record.
-        by: Operator who made it.
-        at: Time in seconds since the epoch, as the operator's host told it.
-        body: JSON body; not to be changed.
+        by: Operator who made the change.
+        at: Time of the change in seconds since the epoch, by the clock of the host that
+            built the record.
+        body: JSON body; must not be modified.
     """
 
     kind: str
@@ -63,20 +64,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """What became of a record.
+    """The outcome of a record.
 
     Attributes:
         offset: Offset of the record.
-        at: Time that it states, in seconds since the epoch; 0 if unreadable.
-        by: Operator that it states; empty if unreadable.
+        at: Time in the record, in seconds since the epoch; 0 if unreadable.
+        by: Operator named in the record; empty if unreadable.
         kind: Kind of the document; empty if unreadable.
         name: Name of the document; empty if unreadable.
-        version_before: Version of the document before the record, 0 if none.
-        version_after: Version of the document after it, 0 if none.
+        version_before: Version of the document before the record; 0 if none.
+        version_after: Version of the document after the record; 0 if none.
         accepted: Whether the record took effect.
-        reason: Why not; empty if accepted.
+        reason: Reason for the rejection; empty if accepted.
         id: Id of the record; empty if unreadable.
-        client: Address that the change was asked from; empty if unknown.
+        client: Address of the client that requested the change; empty if unknown.
     """
 
     offset: int
@@ -94,13 +95,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """What holds for the whole fleet.
+    """Settings of the whole fleet.
 
     Attributes:
         operators: `tokens.StoredToken` by token id.
-        shards: Without effect; the settings of the entries count.
-        models: `PlacedModel` by name; empty means that nothing is placed.
-        max_loads: Most loads at once, for the sake of the weight store.
+        shards: Unused; the number of shards is set in the settings of the entries.
+        models: `PlacedModel` by name; empty disables placement.
+        max_loads: Maximum number of concurrent model loads, which bounds the load on
+            the weight store.
     """
 
     operators: dict = dataclasses.field(default_factory=dict, repr=False)
@@ -111,13 +113,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacedModel:
-    """A model that the engines are to load.
+    """The desired placement of a model on engines.
 
     Attributes:
-        version: Version of its weights; empty means whichever there is.
-        replicas_min: Fewest engines that hold it.
-        replicas_max: Most engines that hold it.
-        adapters: Version by name of the adapters that are loaded with it.
+        version: Version of the weights; empty accepts any version.
+        replicas_min: Minimum number of engines that have the model loaded.
+        replicas_max: Maximum number of engines that have the model loaded.
+        adapters: Versions by name of the adapters to load with the model.
     """
 
     version: str = ""
@@ -127,7 +129,7 @@
 
 
 class Envelope(validation.Model):
-    """Border model of a record."""
+    """Schema of a record."""
 
     id: str = pydantic.Field(pattern=r"^[0-9a-f]{8,64}$")
     type: typing.Literal["template", "workspace", "fleet", "order"]
@@ -140,13 +142,13 @@
 
 
 class OrderBody(validation.Model):
-    """Border model of the body of an order to a host."""
+    """Schema of the body of an operator's order to a host."""
 
     action: typing.Literal["drain"]
 
 
 class WorkspaceBody(validation.Model):
-    """Border model of the body of a workspace document."""
+    """Schema of the body of a workspace document."""
 
     template: str
     template_version: int
@@ -156,13 +158,13 @@
 
 
 class OperatorBody(tokens.StoredTokenBody):
-    """Border model of an operator's token entry."""
+    """Schema of an operator's stored token."""
 
     name: str = pydantic.Field(min_length=1, max_length=100)
 
 
 class PlacedModelBody(validation.Model):
-    """Border model of a model that the engines are to load."""
+    """Schema of a `PlacedModel`."""
 
     version: str = pydantic.Field(default="", max_length=200)
     replicas_min: int = pydantic.Field(default=1, ge=1, le=100_000)
@@ -171,7 +173,7 @@
 
 
 class FleetBody(validation.Model):
-    """Border model of the body of the fleet document."""
+    """Schema of the body of the fleet document."""
 
     operators: list[OperatorBody] = []
     shards: int = pydantic.Field(default=8, ge=1, le=4096)
@@ -180,17 +182,17 @@
 
 
 def parse_envelope(offset, record):
-    """Return a record as the `Document` that it asks for, and what it amends.
+    """Return the `Document` that a record creates, and the version that it amends.
 
     Raises:
-        exception.ValidationError: If the record lacks the documented form.
+        exception.ValidationError: If the record is malformed.
     """
     validation.check_json(record)
     envelope = validation.validate(Envelope, record)
     if envelope.type == FLEET_NAME and envelope.name != FLEET_NAME:
         raise exception.ValidationError(f"name: the fleet's is {FLEET_NAME!r}")
-    if len(json.dumps(envelope.body)) > BODY_LIMIT:
-        raise exception.ValidationError(f"body: larger than {BODY_LIMIT} bytes")
+    if len(json.dumps(envelope.body)) > MAX_BODY_BYTES:
+        raise exception.ValidationError(f"body: larger than {MAX_BODY_BYTES} bytes")
     body = copy.deepcopy(record["body"])
     document = Document(
         envelope.type,
@@ -208,7 +210,7 @@
     """Return the body of the fleet document as a `Fleet`.
 
     Raises:
-        exception.ValidationError: If it lacks the documented form.
+        exception.ValidationError: If the body is malformed.
     """
     parsed = validation.validate(FleetBody, body)
     models = {
@@ -220,9 +222,9 @@
 
 
 def make_stored_tokens(bodies):
-    """Return token entries by id from their border models."""
-    entries = [
+    """Return `tokens.StoredToken` by id from validated bodies."""
+    stored_tokens = [
         tokens.StoredToken(body.id, body.salt, body.hash, getattr(body, "name", ""))
         for body in bodies
     ]
-    return tokens.index_tokens(entries)
+    return tokens.index_tokens(stored_tokens)
--- a/pimentowick/configuration/state_machine.py
+++ b/pimentowick/configuration/state_machine.py
@@ -1,4 +1,4 @@
-"""The configuration as a fold over its log stream."""
+"""The configuration as a state machine replicated through its log stream."""
 
 import collections
 import copy
@@ -12,31 +12,31 @@
 __all__ = ["ConfigurationStateMachine"]
 
 MAX_AUDIT_ENTRIES = 2000
-"""Notes that are kept."""
+"""Maximum number of audit entries kept."""
 MAX_SEEN_IDS = 20_000
-"""Record ids that are remembered."""
-PART_LIMIT = 200_000
-"""Characters of one part of a dump."""
-TEXT_LIMIT = 100
-REASON_LIMIT = 500
+"""Maximum number of record ids kept for duplicate detection."""
+MAX_PART_CHARS = 200_000
+"""Maximum size of one part of a snapshot, in characters of JSON."""
+MAX_FIELD_CHARS = 100
+MAX_REASON_CHARS = 500
 STREAM = "configuration"
-"""Name of the stream in the log."""
-CHECKPOINT = "checkpoint"
-OPENING = "opening"
-"""Takes up offset 0, which can't be a version."""
-DUPLICATE = "duplicate: the id was seen before"
+"""Name of the log stream."""
+CHECKPOINT_TYPE = "checkpoint"
+OPENING_TYPE = "opening"
+"""Type of the record that occupies offset 0, which cannot be a version."""
+DUPLICATE_REASON = "duplicate: the id was seen before"
 
 
 class ConfigurationStateMachine(fold.Fold):
-    """Templates, workspaces and fleet settings as the log has them.
+    """Templates, workspaces and fleet settings, built from the records of the log.
 
     Attributes:
-        version: Highest offset that took effect, 0 if none did.
-        templates: `template.TemplateBody` by name and then by version: the
-            newest and those that a workspace refers to.
+        version: Offset of the last accepted change; 0 if there is none.
+        templates: `template.TemplateBody` by name and version: the newest version and
+            those that a workspace refers to.
         workspaces: `workspace.Workspace` by name.
         fleet: The `document.Fleet`.
-        audit: `document.AuditEntry` of the newest records, oldest first.
+        audit: `document.AuditEntry` of the most recent records, oldest first.
 
     Examples:
         >>> state = ConfigurationStateMachine()
@@ -59,128 +59,132 @@
         self._template_uses = collections.Counter()
         self._token_owners = {}
         self._outcomes = {}
-        self._seen = set()
+        self._seen_ids = set()
         self._seen_order = collections.deque()
 
     def apply(self, offset, record):
         """Apply one record; see the base class.
 
-        A record that does not take effect is noted in `audit`. Offsets that
-        were applied before are passed over, and so are checkpoints and the opening.
+        A rejected record only adds an entry to `audit`. Offsets that have already been
+        applied, checkpoints and the opening record are skipped.
         """
         if offset <= self._last_offset or _get_field(record, "type") in (
-            CHECKPOINT,
-            OPENING,
+            CHECKPOINT_TYPE,
+            OPENING_TYPE,
         ):
             return
         self._last_offset = offset
         record_id = _get_text(record, "id")
-        before = self._get_version_of(record)
-        reason = self._try(offset, record, record_id)
-        self._append_note(self._make_note(offset, record, before, reason))
-        if record_id and reason != DUPLICATE:
-            self._remember(record_id)
+        version_before = self._get_current_version(record)
+        reason = self._apply_change(offset, record, record_id)
+        self._append_audit_entry(
+            self._make_audit_entry(offset, record, version_before, reason)
+        )
+        if record_id and reason != DUPLICATE_REASON:
+            self._add_seen_id(record_id)
 
     def get_document(self, kind, name):
-        """Return the `document.Document` in force, or None."""
+        """Return the current `document.Document`, or None."""
         return self._documents.get((kind, name))
 
     def find_audit_entry(self, record_id):
         """Return the `document.AuditEntry` of a record, or None.
 
-        None means that the record was not applied yet, or so long ago that its
-        note has been dropped. Later duplicates do not hide the first outcome.
+        None means that the record has not been applied yet, or that its entry has been
+        evicted. A duplicate does not replace the entry of the original record.
         """
         return self._outcomes.get(record_id)
 
     def find_workspace_by_token(self, text):
-        """Return the `workspace.Workspace` that a token opens, or None.
+        """Return the `workspace.Workspace` that a token authenticates, or None.
 
-        A stopped workspace is found too; refusing its requests is the caller's.
+        Stopped workspaces are returned too; the caller has to reject their requests.
         """
         token_id = _get_token_id(text)
         owner = self.workspaces.get(self._token_owners.get(token_id))
-        entries = owner.tokens if owner else {}
-        entry = tokens.check_token(text, entries)
-        return owner if entry else None
+        stored_tokens = owner.tokens if owner else {}
+        is_valid = tokens.check_token(text, stored_tokens)
+        return owner if is_valid else None
 
     def find_operator_by_token(self, text):
-        """Return the `tokens.StoredToken` of the operator with this token, or None."""
+        """Return the `tokens.StoredToken` that an operator's token matches, or None."""
         return tokens.check_token(text, self.fleet.operators)
 
     def list_documents_since(self, version):
-        """Return the documents in force newer than `version`, oldest first."""
+        """Return the current documents newer than `version`, oldest first."""
         found = [item for item in self._documents.values() if item.version > version]
         return sorted(found, key=lambda item: item.version)
 
     def dump(self):
-        """Return the state as a list of JSON-ready parts; see the base class."""
+        """Return the state as a list of JSON-serializable parts; see the base class."""
         head = {"version": self.version, "last_offset": self._last_offset}
         kept = {item.version: item for item in self._documents.values()}
         kept.update((item.version, item) for item in self._template_documents.values())
         ordered = [kept[version] for version in sorted(kept)]
         parts = [{"part": "head", "items": [head]}]
-        parts.extend(_pack("documents", map(dataclasses.asdict, ordered)))
-        parts.extend(_pack("audit", map(dataclasses.asdict, self.audit)))
-        parts.extend(_pack("seen", self._seen_order))
+        parts.extend(_split_into_parts("documents", map(dataclasses.asdict, ordered)))
+        parts.extend(_split_into_parts("audit", map(dataclasses.asdict, self.audit)))
+        parts.extend(_split_into_parts("seen", self._seen_order))
         return parts
 
     def load(self, parts):
-        """Replace the state by a dumped one; see the base class.
+        """Replace the state with a snapshot; see the base class.
 
         Raises:
-            exception.ValidationError: If `parts` is not a whole dump; the state
-                then stays as it was.
+            exception.ValidationError: If `parts` is malformed or incomplete; the state
+                is then left unchanged.
         """
         loaded = ConfigurationStateMachine()
         try:
-            loaded._fill(parts)
+            loaded._load_parts(parts)
         except (AttributeError, KeyError, TypeError, IndexError) as error:
-            raise exception.ValidationError(f"dump: {error!r}") from error
+            raise exception.ValidationError(
+                f"malformed configuration snapshot: {error!r}"
+            ) from error
         self.__dict__.update(loaded.__dict__)
 
-    def _fill(self, parts):
+    def _load_parts(self, parts):
         items = collections.defaultdict(list)
         for part in parts:
             items[part["part"]].extend(copy.deepcopy(part["items"]))
         for data in items["documents"]:
-            self._put(document.Document(**data))
+            self._put_document(document.Document(**data))
         for data in items["audit"]:
-            self._append_note(document.AuditEntry(**data))
+            self._append_audit_entry(document.AuditEntry(**data))
         for record_id in items["seen"]:
-            self._remember(record_id)
+            self._add_seen_id(record_id)
         head = items["head"][0]
         self.version = head["version"]
         self._last_offset = head["last_offset"]
 
-    def _try(self, offset, record, record_id):
-        """Return why the record does not take effect; empty if it does."""
-        if record_id in self._seen:
-            return DUPLICATE
+    def _apply_change(self, offset, record, record_id):
+        """Apply a change; return the reason if it is rejected, else an empty string."""
+        if record_id in self._seen_ids:
+            return DUPLICATE_REASON
         try:
-            self._take(offset, record)
+            self._apply_envelope(offset, record)
         except exception.PimentowickError as error:
-            return str(error)[:REASON_LIMIT]
+            return str(error)[:MAX_REASON_CHARS]
         return ""
 
-    def _take(self, offset, record):
+    def _apply_envelope(self, offset, record):
         new, amends = document.parse_envelope(offset, record)
         if offset == 0:
-            # Version 0 means "no document yet": a document of that version
-            # could be overwritten by a racing record for a new one.
+            # Version 0 means that the document does not exist: a document of that
+            # version could be overwritten by a concurrent record that creates it.
             raise exception.ValidationError("offset 0 can't be a version")
         current = self.get_document(new.kind, new.name)
         _check_amends(current, amends)
         if new.kind == document.ORDER:
             validation.validate(document.OrderBody, new.body)
             return
-        self._put(new)
+        self._put_document(new)
         self.version = offset
         if current is not None:
-            self._release(current)
+            self._drop_unused_template(current)
 
-    def _put(self, new):
-        # Each branch checks everything before it changes anything.
+    def _put_document(self, new):
+        # Each branch validates the body before it modifies any state.
         if new.kind == "template":
             self._put_template(new)
         elif new.kind == "workspace":
@@ -196,15 +200,15 @@
 
     def _put_workspace(self, new):
         body = validation.validate(document.WorkspaceBody, new.body)
-        filled = self._render(body)
-        entries = document.make_stored_tokens(body.tokens)
-        self._check_owners(new.name, entries)
-        made = workspace.parse_workspace(
-            new.name, new.version, filled, entries, body.stopped
+        rendered = self._render(body)
+        stored_tokens = document.make_stored_tokens(body.tokens)
+        self._check_token_owners(new.name, stored_tokens)
+        parsed_workspace = workspace.parse_workspace(
+            new.name, new.version, rendered, stored_tokens, body.stopped
         )
         self._template_uses[body.template, body.template_version] += 1
-        self._move_tokens(new.name, entries)
-        self.workspaces[new.name] = made
+        self._update_token_owners(new.name, stored_tokens)
+        self.workspaces[new.name] = parsed_workspace
 
     def _render(self, body):
         versions = self.templates.get(body.template, {})
@@ -216,30 +220,30 @@
             )
         return template.render_workspace(parsed, body.parameters)
 
-    def _check_owners(self, name, entries):
-        for token_id in entries:
+    def _check_token_owners(self, name, token_ids):
+        for token_id in token_ids:
             if self._token_owners.get(token_id, name) != name:
                 raise exception.ValidationError(
                     f"tokens: id {token_id} belongs to another workspace"
                 )
 
-    def _move_tokens(self, name, entries):
+    def _update_token_owners(self, name, token_ids):
         current = self.workspaces.get(name)
         for token_id in current.tokens if current else ():
             del self._token_owners[token_id]
-        self._token_owners.update(dict.fromkeys(entries, name))
+        self._token_owners.update(dict.fromkeys(token_ids, name))
 
-    def _release(self, replaced):
-        """Drop the template version that a replaced document kept, if unused."""
+    def _drop_unused_template(self, replaced):
+        """Drop the template version that a replaced document referred to, if unused."""
         if replaced.kind == "template":
-            self._drop_template(replaced.name, replaced.version)
+            self._drop_template_version(replaced.name, replaced.version)
         elif replaced.kind == "workspace":
             body = replaced.body
             key = (body["template"], body["template_version"])
             self._template_uses[key] -= 1
-            self._drop_template(*key)
+            self._drop_template_version(*key)
 
-    def _drop_template(self, name, version):
+    def _drop_template_version(self, name, version):
         is_newest = self._documents["template", name].version == version
         if is_newest or self._template_uses[name, version] > 0:
             return
@@ -247,42 +251,42 @@
         del self._template_documents[name, version]
         del self.templates[name][version]
 
-    def _get_version_of(self, record):
+    def _get_current_version(self, record):
         key = (_get_text(record, "type"), _get_text(record, "name"))
         current = self._documents.get(key)
         return current.version if current else 0
 
-    def _make_note(self, offset, record, before, reason):
+    def _make_audit_entry(self, offset, record, version_before, reason):
         return document.AuditEntry(
             offset=offset,
             at=_get_time(record),
             by=_get_text(record, "by"),
             kind=_get_text(record, "type"),
             name=_get_text(record, "name"),
-            version_before=before,
-            version_after=self._get_version_of(record),
+            version_before=version_before,
+            version_after=self._get_current_version(record),
             accepted=not reason,
             reason=reason,
             id=_get_text(record, "id"),
             client=_get_text(record, "client"),
         )
 
-    def _append_note(self, entry):
+    def _append_audit_entry(self, entry):
         self.audit.append(entry)
-        if entry.id and entry.reason != DUPLICATE:
+        if entry.id and entry.reason != DUPLICATE_REASON:
             self._outcomes[entry.id] = entry
         if len(self.audit) > MAX_AUDIT_ENTRIES:
-            self._forget(self.audit.popleft())
+            self._drop_outcome(self.audit.popleft())
 
-    def _forget(self, entry):
+    def _drop_outcome(self, entry):
         if self._outcomes.get(entry.id) is entry:
             del self._outcomes[entry.id]
 
-    def _remember(self, record_id):
-        self._seen.add(record_id)
+    def _add_seen_id(self, record_id):
+        self._seen_ids.add(record_id)
         self._seen_order.append(record_id)
         if len(self._seen_order) > MAX_SEEN_IDS:
-            self._seen.discard(self._seen_order.popleft())
+            self._seen_ids.discard(self._seen_order.popleft())
 
 
 def _check_amends(current, amends):
@@ -303,7 +307,7 @@
 
 def _get_text(record, key):
     value = _get_field(record, key)
-    if not isinstance(value, str) or len(value) > TEXT_LIMIT:
+    if not isinstance(value, str) or len(value) > MAX_FIELD_CHARS:
         return ""
     try:
         value.encode("utf-8")
@@ -316,7 +320,7 @@
     value = _get_field(record, "at")
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return 0.0
-    # False for NaN as well, which would make equal states differ.
+    # The comparison also rejects NaN, which would make identical states unequal.
     return float(value) if abs(value) <= validation.MAX_SAFE_INTEGER else 0.0
 
 
@@ -324,15 +328,15 @@
     return text.partition(tokens.SEPARATOR)[0] if isinstance(text, str) else None
 
 
-def _pack(name, items):
-    """Return parts of a dump that hold `items` and stay below the limit."""
+def _split_into_parts(name, items):
+    """Split `items` into snapshot parts of at most `MAX_PART_CHARS`."""
     parts = []
-    room = 0
+    remaining_chars = 0
     for item in items:
         size = len(json.dumps(item)) + 2
-        if size > room:
+        if size > remaining_chars:
             parts.append({"part": name, "items": []})
-            room = PART_LIMIT
+            remaining_chars = MAX_PART_CHARS
         parts[-1]["items"].append(item)
-        room -= size
+        remaining_chars -= size
     return parts
--- a/pimentowick/configuration/template.py
+++ b/pimentowick/configuration/template.py
@@ -1,4 +1,4 @@
-"""Templates: trees of settings with parameters to fill in."""
+"""Templates: trees of workspace settings with typed parameters."""
 
 import re
 import typing
@@ -14,11 +14,12 @@
     "resolve_parameters",
 ]
 
-RENDERED_LIMIT = 1_000_000
-"""Characters that a filled tree may hold."""
-SHOWN_LENGTH = 60
+MAX_RENDERED_CHARS = 1_000_000
+"""Maximum total length of the strings in a rendered tree."""
+MAX_QUOTED_CHARS = 60
+"""Maximum length of an invalid value quoted in an error message."""
 NAME_PATTERN = r"[A-Za-z_][A-Za-z0-9_]{0,62}"
-# The first branch takes "$${" as an escaped "${".
+# The first alternative matches "$${", the escape of a literal "${".
 PLACEHOLDER = re.compile(r"\$(\$\{)|\$\{([^}]*)\}")
 TYPES = {
     "string": (str,),
@@ -27,18 +28,19 @@
     "boolean": (bool,),
     "list": (list,),
 }
-BOUNDED_TYPES = frozenset({"integer", "number"})
+NUMERIC_TYPES = frozenset({"integer", "number"})
 
 
 class Parameter(validation.Model):
     """One parameter of a template.
 
     Attributes:
-        type: Name of the JSON type of its values.
-        default: Value if a workspace gives none; required if None.
-        minimum: Least value of a number, or None.
-        maximum: Greatest value of a number, or None.
-        help: What the parameter is for.
+        type: Name of the JSON type of the values.
+        default: Value used when the workspace sets none; None makes the parameter
+            required.
+        minimum: Lower bound of a number, or None.
+        maximum: Upper bound of a number, or None.
+        help: Description of the parameter.
     """
 
     type: typing.Literal["string", "integer", "number", "boolean", "list"]
@@ -52,7 +54,7 @@
     """Body of a template document.
 
     Attributes:
-        parameters: The `Parameter` of each name.
+        parameters: `Parameter` by name.
         workspace: Tree of settings with placeholders ``${name}``.
     """
 
@@ -61,14 +63,14 @@
 
 
 def parse_template(body):
-    """Check the body of a template and return it as a `TemplateBody`.
+    """Validate the body of a template and return it as a `TemplateBody`.
 
     Args:
         body: JSON value from a record.
 
     Raises:
-        exception.ValidationError: If it lacks the documented form, a default
-            does not fit its parameter, or a placeholder names no parameter.
+        exception.ValidationError: If the body is malformed, a default is invalid for
+            its parameter, or a placeholder names an undeclared parameter.
     """
     parsed = validation.validate(TemplateBody, body)
     for name, parameter in parsed.parameters.items():
@@ -83,15 +85,15 @@
 
 
 def resolve_parameters(template_body, parameters):
-    """Return the value of each parameter, defaults filled in.
+    """Return the value of each parameter, with defaults applied.
 
     Args:
         template_body: A `TemplateBody`.
-        parameters: Mapping from parameter names to given values.
+        parameters: Mapping from parameter names to values.
 
     Raises:
-        exception.ValidationError: If a name is unknown, or a value is missing,
-            has the wrong type or is out of bounds.
+        exception.ValidationError: If a name is unknown, or a value is missing, has the
+            wrong type or is out of bounds.
     """
     declared = template_body.parameters
     for name in parameters:
@@ -113,11 +115,11 @@
 
 
 def render_workspace(template_body, parameters):
-    """Fill in the tree of a template.
+    """Substitute the parameters in the tree of a template.
 
-    A string that is one placeholder becomes the value itself, with its type.
-    Within a longer string or a key, the value becomes text. ``$${`` stands for
-    a literal ``${``.
+    A string that consists of one placeholder is replaced by the value with its type.
+    In a longer string or a key, the value is converted to text. ``$${`` is the escape
+    of a literal ``${``.
 
     Args:
         template_body: A `TemplateBody`.
@@ -127,8 +129,8 @@
         A new tree without placeholders.
 
     Raises:
-        exception.ValidationError: If the parameters do not fit; the message
-            names the parameter, what was expected and what came.
+        exception.ValidationError: If a parameter is invalid; the message names the
+            parameter, the expected value and the given one.
 
     Examples:
         >>> body = parse_template(
@@ -150,15 +152,15 @@
 
 
 class _Renderer:
-    """Fills in one tree and bounds what comes out.
+    """Substitutes the parameters in one tree and limits the size of the result.
 
-    A small template may repeat a long value many times; without the bound one
-    record could take the memory of every reader.
+    A small template may repeat a long value many times; without the limit, one record
+    could exhaust the memory of every process that replays the log.
     """
 
     def __init__(self, values):
         self.values = values
-        self.remaining = RENDERED_LIMIT
+        self.remaining_chars = MAX_RENDERED_CHARS
 
     def render_tree(self, tree):
         if isinstance(tree, dict):
@@ -179,45 +181,45 @@
         return rendered
 
     def _render_string(self, text):
-        found = PLACEHOLDER.fullmatch(text)
-        if found and found[2] is not None:
-            return self._copy_value(self.values[found[2]])
+        match = PLACEHOLDER.fullmatch(text)
+        if match and match[2] is not None:
+            return self._copy_value(self.values[match[2]])
         return self._render_text(text)
 
     def _render_text(self, text):
         pieces = []
         end = 0
-        for found in PLACEHOLDER.finditer(text):
-            pieces.append(self._spend(text[end : found.start()]))
-            pieces.append(self._spend(self._format_match(found)))
-            end = found.end()
-        pieces.append(self._spend(text[end:]))
+        for match in PLACEHOLDER.finditer(text):
+            pieces.append(self._consume(text[end : match.start()]))
+            pieces.append(self._consume(self._format_match(match)))
+            end = match.end()
+        pieces.append(self._consume(text[end:]))
         return "".join(pieces)
 
-    def _format_match(self, found):
-        if found[1] is not None:
-            return found[1]
-        return _format_value(found[2], self.values[found[2]])
+    def _format_match(self, match):
+        if match[1] is not None:
+            return match[1]
+        return _format_value(match[2], self.values[match[2]])
 
     def _copy_value(self, value):
         if isinstance(value, list):
-            self._spend(" ")
+            self._consume(" ")
             return [self._copy_value(child) for child in value]
         if isinstance(value, dict):
             return {
-                self._spend(key): self._copy_value(child)
+                self._consume(key): self._copy_value(child)
                 for key, child in value.items()
             }
         if isinstance(value, str):
-            return self._spend(value)
-        self._spend(" ")
+            return self._consume(value)
+        self._consume(" ")
         return value
 
-    def _spend(self, text):
-        self.remaining -= len(text)
-        if self.remaining < 0:
+    def _consume(self, text):
+        self.remaining_chars -= len(text)
+        if self.remaining_chars < 0:
             raise exception.ValidationError(
-                f"the filled template exceeds {RENDERED_LIMIT} characters"
+                f"the filled template exceeds {MAX_RENDERED_CHARS} characters"
             )
         return text
 
@@ -234,9 +236,9 @@
 
 def _find_placeholders(tree):
     if isinstance(tree, str):
-        for found in PLACEHOLDER.finditer(tree):
-            if found[2] is not None:
-                yield found[2]
+        for match in PLACEHOLDER.finditer(tree):
+            if match[2] is not None:
+                yield match[2]
     elif isinstance(tree, dict):
         for key, child in tree.items():
             yield from _find_placeholders(key)
@@ -252,7 +254,7 @@
             f"parameter {name!r}: expected a name of letters, digits and _"
         )
     is_bounded = parameter.minimum is not None or parameter.maximum is not None
-    if is_bounded and parameter.type not in BOUNDED_TYPES:
+    if is_bounded and parameter.type not in NUMERIC_TYPES:
         raise exception.ValidationError(
             f"parameter {name}: expected no bounds for type {parameter.type}"
         )
@@ -261,12 +263,12 @@
 
 
 def _check_value(name, parameter, value):
-    # Python counts True as an integer, JSON doesn't.
-    is_misread = isinstance(value, bool) and parameter.type != "boolean"
-    if is_misread or not isinstance(value, TYPES[parameter.type]):
-        shown = repr(value)[:SHOWN_LENGTH]
+    # In Python bool is a subclass of int; in JSON it is a distinct type.
+    is_unexpected_bool = isinstance(value, bool) and parameter.type != "boolean"
+    if is_unexpected_bool or not isinstance(value, TYPES[parameter.type]):
+        quoted = repr(value)[:MAX_QUOTED_CHARS]
         raise exception.ValidationError(
-            f"parameter {name}: expected {parameter.type}, got {shown}"
+            f"parameter {name}: expected {parameter.type}, got {quoted}"
         )
     if parameter.minimum is not None and value < parameter.minimum:
         raise exception.ValidationError(
--- a/pimentowick/configuration/tests/test_state_machine.py
+++ b/pimentowick/configuration/tests/test_state_machine.py
@@ -13,7 +13,7 @@
     "parameters": {"size": {"type": "integer", "default": 2, "maximum": 9}},
     "workspace": {"max_jobs_open": "${size}"},
 }
-GARBLED = [
+MALFORMED = [
     None,
     [],
     "text",
@@ -46,7 +46,7 @@
     }
 
 
-def fold_records(records, first=1):
+def apply_records(records, first=1):
     state = state_machine.ConfigurationStateMachine()
     for offset, record in enumerate(records, first):
         state.apply(offset, record)
@@ -63,35 +63,35 @@
     assert left.dump() == right.dump()
     for name in ("version", "templates", "workspaces", "fleet", "audit"):
         assert getattr(left, name) == getattr(right, name)
-    for name in ("_outcomes", "_seen", "_token_owners", "_template_uses"):
+    for name in ("_outcomes", "_seen_ids", "_token_owners", "_template_uses"):
         assert getattr(left, name) == getattr(right, name)
 
 
 @strategies.composite
 def draw_records(draw):
-    """A stream in which writers race, repeat themselves and write rubbish."""
+    """A stream with concurrent changes, duplicates and malformed records."""
     records = []
     for number in range(draw(strategies.integers(0, 30))):
-        versions = strategies.integers(0, len(records) + 2)
+        amended_versions = strategies.integers(0, len(records) + 2)
         choice = draw(strategies.integers(0, 9))
         if choice == 0:
-            record = draw(strategies.sampled_from(GARBLED))
+            record = draw(strategies.sampled_from(MALFORMED))
         elif choice == 1 and records:
             record = draw(strategies.sampled_from(records))
         elif choice <= 4:
             record = make_record(number, "template", "small", 0, TEMPLATE)
         elif choice == 5:
             body = {"operators": [], "shards": draw(strategies.integers(-1, 9))}
-            record = make_record(number, "fleet", "fleet", draw(versions), body)
+            record = make_record(number, "fleet", "fleet", draw(amended_versions), body)
         else:
-            newest = fold_records(records).get_document("template", "small")
+            newest = apply_records(records).get_document("template", "small")
             if newest and draw(strategies.integers(0, 3)):
-                versions = strategies.just(newest.version)
-            body = make_body(draw(versions), draw(strategies.integers(1, 11)))
+                amended_versions = strategies.just(newest.version)
+            body = make_body(draw(amended_versions), draw(strategies.integers(1, 11)))
             name = draw(strategies.sampled_from(["one", "two"]))
             record = make_record(number, "workspace", name, 0, body)
         if choice > 1 and draw(strategies.integers(0, 3)):
-            state = fold_records(records)
+            state = apply_records(records)
             current = state.get_document(record["type"], record["name"])
             record["amends"] = current.version if current else 0
         records.append(record)
@@ -100,10 +100,9 @@
 
 @SETTINGS
 @hypothesis.given(draw_records(), strategies.integers(0, 30))
-def test_dump_at_any_point_equals_start(records, cut):
-    """A reader starts from the dump of another one in the middle of the log.
-
-    If the two differed, hosts would serve a customer by different settings.
+def test_snapshot_at_any_offset_equals_full_replay(records, cut):
+    """A replica that starts from a snapshot ends in the same state as one that replays
+    the whole log. Otherwise hosts would serve a workspace with different settings.
     """
     whole = state_machine.ConfigurationStateMachine()
     other = state_machine.ConfigurationStateMachine()
@@ -117,64 +116,60 @@
 
 @SETTINGS
 @hypothesis.given(draw_records())
-def test_versions_grow_and_one_change_wins(records):
-    """Writers race, and the log holds what each of them asked for.
-
-    A version that fell back, or two winners over one version, would undo a
-    change without anyone seeing it.
+def test_versions_increase_and_one_concurrent_change_is_accepted(records):
+    """Among concurrent changes of one version exactly one is accepted, and versions
+    never decrease. Otherwise an accepted change would be lost silently.
     """
     state = state_machine.ConfigurationStateMachine()
-    won = set()
+    accepted_changes = set()
     for offset, record in enumerate(records, 1):
         before = state.version
         documents = dict(state._documents)
         state.apply(offset, record)
         assert state.version in (before, offset)
-        note = state.audit[-1] if state.audit else None
-        if note is None or note.offset != offset:
+        audit_entry = state.audit[-1] if state.audit else None
+        if audit_entry is None or audit_entry.offset != offset:
             assert record["type"] == "checkpoint"
             continue
-        assert note.accepted == (state.version == offset)
-        if note.accepted:
-            key = (note.kind, note.name, record["amends"])
-            assert key not in won
-            won.add(key)
-            assert note.version_before == record["amends"]
+        assert audit_entry.accepted == (state.version == offset)
+        if audit_entry.accepted:
+            key = (audit_entry.kind, audit_entry.name, record["amends"])
+            assert key not in accepted_changes
+            accepted_changes.add(key)
+            assert audit_entry.version_before == record["amends"]
         else:
-            assert note.reason
+            assert audit_entry.reason
             assert state._documents == documents
 
 
 @SETTINGS
 @hypothesis.given(draw_records(), strategies.randoms(use_true_random=False))
-def test_repeated_offsets_change_nothing(records, choose):
-    """A reader gets records again after it reconnected to the log.
-
-    Applying them twice would fill the audit with false duplicates.
+def test_repeated_offsets_change_nothing(records, rng):
+    """Records that are delivered again after a reconnect are skipped; applying them
+    twice would add false duplicates to the audit trail.
     """
-    once = fold_records(records)
+    once = apply_records(records)
     again = state_machine.ConfigurationStateMachine()
     for offset, record in enumerate(records, 1):
         again.apply(offset, record)
-        back = choose.randint(1, offset)
-        again.apply(back, records[back - 1])
+        repeated_offset = rng.randint(1, offset)
+        again.apply(repeated_offset, records[repeated_offset - 1])
     assert_equal(once, again)
 
 
 def test_records_never_alias_the_callers_objects():
     record = make_record(1, "template", "small", 0, json.loads(json.dumps(TEMPLATE)))
-    state = fold_records([record])
+    state = apply_records([record])
     record["body"]["workspace"]["max_jobs_open"] = "changed"
     assert state.get_document("template", "small").body == TEMPLATE
 
 
 def test_conflict_names_the_winner():
-    """Two operators change the same template from the same version.
-
-    The second one has to learn whose change stands, instead of undoing it.
+    """Two operators amend the same version of a template. The second is rejected with
+    the name of the operator whose change was accepted.
     """
     records = [make_record(n, "template", "small", 0, TEMPLATE) for n in (1, 2)]
-    state = fold_records(records)
+    state = apply_records(records)
     found = state.find_audit_entry(records[1]["id"])
     assert not found.accepted
     assert found.reason.startswith("conflict: version 1 by ada")
@@ -183,22 +178,20 @@
     assert state.find_audit_entry("unknown") is None
 
 
-def test_duplicate_hides_no_outcome_and_stays_void():
-    """A workspace is published before its template, and the append is repeated.
-
-    The repeat comes when the template is there; it must not take effect behind
-    the back of the operator, who was told that the change was rejected.
+def test_duplicate_keeps_first_outcome_and_has_no_effect():
+    """A rejected record is appended again when it would be valid. It must still have no
+    effect, since the operator was told that the change was rejected.
     """
     early = make_record(1, "workspace", "one", 0, make_body(2))
     records = [early, make_record(2, "template", "small", 0, TEMPLATE), early]
-    state = fold_records(records)
+    state = apply_records(records)
     assert state.workspaces == {}
-    assert state.audit[-1].reason == state_machine.DUPLICATE
+    assert state.audit[-1].reason == state_machine.DUPLICATE_REASON
     assert "template small version 2" in state.find_audit_entry(early["id"]).reason
 
 
 def test_offset_zero_is_rejected():
-    state = fold_records([make_record(1, "template", "small", 0, TEMPLATE)], first=0)
+    state = apply_records([make_record(1, "template", "small", 0, TEMPLATE)], first=0)
     assert state.version == 0
     assert "offset 0" in state.audit[0].reason
 
@@ -210,7 +203,7 @@
         make_record(3, "template", "small", 1, TEMPLATE),
         make_record(4, "template", "small", 3, TEMPLATE),
     ]
-    state = fold_records(records)
+    state = apply_records(records)
     assert sorted(state.templates["small"]) == [1, 4]
     state.apply(5, make_record(5, "workspace", "one", 2, make_body(4, 9)))
     assert sorted(state.templates["small"]) == [4]
@@ -220,14 +213,13 @@
     assert [item.version for item in state.list_documents_since(4)] == [5]
 
 
-def test_tokens_rotate_without_a_gap_and_belong_to_one():
-    """A workspace changes its token while a rival tries to enter the same id.
-
-    Callers of the first one must be let in throughout, and never as the rival.
+def test_tokens_rotate_without_a_gap_and_belong_to_one_workspace():
+    """A workspace rotates its token while another one claims the same token id. Callers
+    stay authenticated throughout, and only as their own workspace.
     """
     old_text, old = tokens.make_token()
     new_text, new = tokens.make_token()
-    state = fold_records(
+    state = apply_records(
         [
             make_record(1, "template", "small", 0, TEMPLATE),
             make_record(2, "workspace", "one", 0, make_body(1, entries=[old])),
@@ -251,7 +243,7 @@
 def test_operator_tokens():
     text, entry = tokens.make_token("ada")
     body = {"operators": [entry.to_dict()]}
-    state = fold_records([make_record(1, "fleet", "fleet", 0, body)])
+    state = apply_records([make_record(1, "fleet", "fleet", 0, body)])
     assert state.find_operator_by_token(text).name == "ada"
     assert state.fleet.shards == 8
     twice = {"operators": [entry.to_dict(), entry.to_dict()]}
@@ -261,21 +253,20 @@
     assert not state.audit[-1].accepted
 
 
-def test_notes_and_dumps_are_bounded(monkeypatch):
-    """A broken writer fills the log with rejected records for hours.
-
-    The memory of the readers must stay bounded, and the copies stay equal.
+def test_audit_entries_and_snapshots_are_bounded(monkeypatch):
+    """A faulty writer fills the log with rejected records. Memory and snapshots stay
+    bounded, and replicas stay identical.
     """
     monkeypatch.setattr(state_machine, "MAX_SEEN_IDS", 3000)
     wide = make_record(0, "template", "wide", 0, {"workspace": {"a": "x" * 140_000}})
     records = [wide]
-    choose = random.Random(3)
+    rng = random.Random(3)
     for number in range(1, 4000):
-        repeated = choose.randint(0, number)
+        repeated = rng.randint(0, number)
         records.append(make_record(repeated, "workspace", "one", 0, make_body(1)))
-    state = fold_records(records)
+    state = apply_records(records)
     assert len(state.audit) == state_machine.MAX_AUDIT_ENTRIES
-    assert len(state._seen) <= 3000
+    assert len(state._seen_ids) <= 3000
     assert max(len(json.dumps(part)) for part in state.dump()) < 210_000
     assert_equal(state, copy_state(state))
 
@@ -291,8 +282,8 @@
         {"workspace": {"a": "${lost}"}},
     ],
 )
-def test_hostile_bodies_are_noted(body):
-    state = fold_records([make_record(1, "template", "small", 0, body)])
+def test_invalid_bodies_are_audited(body):
+    state = apply_records([make_record(1, "template", "small", 0, body)])
     assert state.version == 0
     assert state.audit[0].reason
 
@@ -306,8 +297,8 @@
         [3],
     ],
 )
-def test_broken_dump_leaves_state(parts):
-    state = fold_records([make_record(1, "template", "small", 0, TEMPLATE)])
+def test_malformed_snapshot_leaves_state_unchanged(parts):
+    state = apply_records([make_record(1, "template", "small", 0, TEMPLATE)])
     before = state.dump()
     with pytest.raises(exception.ValidationError):
         state.load(parts)
@@ -323,7 +314,7 @@
         make_record(2, "workspace", "one", 0, body),
         make_record(3, "workspace", "one", 0, make_body(1, entries=[entry])),
     ]
-    state = fold_records(records)
+    state = apply_records(records)
     shown = repr(
         (state.audit, state.workspaces, state.get_document("workspace", "one"))
     )
--- a/pimentowick/configuration/tests/test_template.py
+++ b/pimentowick/configuration/tests/test_template.py
@@ -54,17 +54,16 @@
     assert filled == {"m-3": [3, ["${a}"], "${a}", "$5", "true!"], "n": None}
 
 
-def test_long_values_cannot_be_multiplied():
-    """One record repeats a long parameter thousands of times.
-
-    Without a bound, each reader would run out of memory at the same record.
+def test_rendered_size_is_limited():
+    """A template repeats a long parameter thousands of times. Without a limit, every
+    process that replays the log would run out of memory at this record.
     """
     body = make_template({"x": ["${a}"] * 2000}, a={"type": "string"})
     with pytest.raises(exception.ValidationError, match="exceeds"):
         template.render_workspace(body, {"a": "y" * 10_000})
 
 
-def test_filled_keys_must_differ():
+def test_rendered_keys_must_be_unique():
     body = make_template({"${a}": 1, "x": 2}, a={"type": "string"})
     with pytest.raises(exception.ValidationError, match="occurs twice"):
         template.render_workspace(body, {"a": "x"})
@@ -93,7 +92,7 @@
         workspace.parse_workspace("one", 1, tree, {}, False)
 
 
-def test_change_and_its_lines():
+def test_change_record_and_diff():
     first = change.make_change("fleet", "fleet", 0, "ada", {}, 1.0)
     second = change.make_change("fleet", "fleet", 0, "ada", {}, 1.0)
     assert first["id"] != second["id"]
--- a/pimentowick/configuration/tokens.py
+++ b/pimentowick/configuration/tokens.py
@@ -1,4 +1,4 @@
-"""Access tokens, of which only salted hashes are stored."""
+"""Access tokens, stored as salted hashes only."""
 
 import dataclasses
 import hashlib
@@ -26,7 +26,7 @@
 
 
 class StoredTokenBody(validation.Model):
-    """Border model of a token entry in a document."""
+    """Schema of a stored token in a document."""
 
     id: str = pydantic.Field(pattern=r"^[A-Za-z0-9_-]{4,64}$")
     salt: str = pydantic.Field(pattern=r"^[0-9a-f]{16,128}$", repr=False)
@@ -35,13 +35,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredToken:
-    """What is stored of a token.
+    """The stored form of a token, without its secret.
 
     Attributes:
         id: Public part of the token.
-        salt: Hexadecimal salt, own to each token.
+        salt: Hexadecimal salt, unique to the token.
         hash: Hexadecimal SHA-256 hash of salt and secret.
-        name: Name of the holder; empty for tokens of a workspace.
+        name: Name of the operator; empty for tokens of a workspace.
     """
 
     id: str
@@ -50,50 +50,50 @@
     name: str = ""
 
     def to_dict(self):
-        """Return the form that stands in a document."""
+        """Return the JSON form used in documents."""
         data = {"id": self.id, "salt": self.salt, "hash": self.hash}
         if self.name:
             data["name"] = self.name
         return data
 
 
-# Compared with when the id is unknown, so that the time of an answer doesn't
-# tell whether the id exists.
-_ABSENT = StoredToken("absent", "00" * SALT_BYTES, "0" * 64)
+# Stands in for an unknown id, so that the response time does not reveal whether an id
+# exists.
+_DUMMY_TOKEN = StoredToken("absent", "00" * SALT_BYTES, "0" * 64)
 
 
 def make_token(name=""):
-    """Make a new random token.
+    """Generate a random token.
 
     Args:
-        name: Name of the holder, for the token of an operator.
+        name: Name of the operator; empty for the token of a workspace.
 
     Returns:
-        The text of the token, to be shown once, and its `StoredToken`.
+        The token's text, which is shown once and never stored, and its `StoredToken`.
 
     Examples:
-        >>> text, entry = make_token()
-        >>> check_token(text, {entry.id: entry}) == entry
+        >>> text, stored_token = make_token()
+        >>> check_token(text, {stored_token.id: stored_token}) == stored_token
         True
-        >>> check_token(text + "x", {entry.id: entry}) is None
+        >>> check_token(text + "x", {stored_token.id: stored_token}) is None
         True
     """
     token_id = secrets.token_hex(ID_BYTES)
     secret = secrets.token_urlsafe(SECRET_BYTES)
     salt = secrets.token_hex(SALT_BYTES)
-    entry = StoredToken(token_id, salt, _hash_secret(salt, secret), name)
-    return f"{token_id}{SEPARATOR}{secret}", entry
+    stored_token = StoredToken(token_id, salt, _hash_secret(salt, secret), name)
+    return f"{token_id}{SEPARATOR}{secret}", stored_token
 
 
-def check_token(text, entries_by_id):
-    """Find the entry that a token proves.
+def check_token(text, tokens_by_id):
+    """Return the stored token that matches the text of a token.
 
-    Any number of entries are valid at once: to change a token, add the new
-    entry, move the callers, then remove the old entry.
+    Several tokens are valid at once. To rotate a token, add the new one, switch the
+    callers over, then remove the old one.
 
     Args:
-        text: Text of the token as the caller sent it.
-        entries_by_id: Mapping from token id to `StoredToken`.
+        text: Text of the token as sent by the caller.
+        tokens_by_id: Mapping from token id to `StoredToken`.
 
     Returns:
         The `StoredToken`, or None if the token is not valid.
@@ -101,28 +101,28 @@
     if not isinstance(text, str):
         return None
     token_id, _, secret = text.partition(SEPARATOR)
-    entry = entries_by_id.get(token_id)
-    expected = entry or _ABSENT
+    stored_token = tokens_by_id.get(token_id)
+    expected = stored_token or _DUMMY_TOKEN
     digest = _hash_secret(expected.salt, secret)
     is_equal = hmac.compare_digest(digest, expected.hash)
-    return entry if is_equal else None
+    return stored_token if is_equal else None
 
 
-def index_tokens(entries):
-    """Return the entries by their ids.
+def index_tokens(stored_tokens):
+    """Return stored tokens by id.
 
     Raises:
-        exception.ValidationError: If two of them have the same id.
+        exception.ValidationError: If two tokens have the same id.
     """
     by_id = {}
-    for entry in entries:
-        if entry.id in by_id:
-            raise exception.ValidationError(f"token id {entry.id} occurs twice")
-        by_id[entry.id] = entry
+    for stored_token in stored_tokens:
+        if stored_token.id in by_id:
+            raise exception.ValidationError(f"token id {stored_token.id} occurs twice")
+        by_id[stored_token.id] = stored_token
     return by_id
 
 
 def _hash_secret(salt, secret):
-    # A caller may send any bytes; broken text must give a refusal, not an error.
+    # A caller may send a token that is not valid Unicode: reject it, don't raise.
     content = (salt + secret).encode("utf-8", "surrogatepass")
     return hashlib.sha256(content).hexdigest()
--- a/pimentowick/configuration/validation.py
+++ b/pimentowick/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks of JSON values that come from outside, with readable errors."""
+"""Validation of untrusted JSON values."""
 
 import math
 
@@ -9,37 +9,37 @@
 __all__ = ["MAX_NESTING_DEPTH", "MAX_SAFE_INTEGER", "Model", "check_json", "validate"]
 
 MAX_NESTING_DEPTH = 32
-"""Levels of nesting that a value may have."""
+"""Maximum nesting depth of a JSON value."""
 MAX_SAFE_INTEGER = 2**53
-"""Largest absolute value of an integer that every JSON reader keeps exactly."""
-SHOWN_LENGTH = 60
-"""Characters of a wrong value that an error shows."""
-HIDDEN_KEYS = frozenset({"hash", "operators", "salt", "tokens"})
-"""Keys below which errors never show a value."""
+"""Largest absolute value of an integer that a double represents exactly."""
+MAX_QUOTED_CHARS = 60
+"""Maximum length of an invalid value quoted in an error message."""
+REDACTED_KEYS = frozenset({"hash", "operators", "salt", "tokens"})
+"""Keys at or below which error messages never quote a value."""
 
 
 class Model(pydantic.BaseModel):
-    """Base of all border models: no unknown keys, no conversion of types."""
+    """Base of the validated models: rejects unknown keys and type coercion."""
 
     model_config = pydantic.ConfigDict(
         extra="forbid", strict=True, frozen=True, allow_inf_nan=False
     )
 
 
-def validate(model, value, place=""):
-    """Return `value` as an instance of a border model.
+def validate(model, value, path_prefix=""):
+    """Validate `value` against a model and return the instance.
 
     Args:
         model: Subclass of `Model`.
         value: JSON value.
-        place: Prefix of the key paths in errors.
+        path_prefix: Prefix of the key paths in error messages.
 
     Returns:
-        The instance of `model`.
+        An instance of `model`.
 
     Raises:
-        exception.ValidationError: If `value` does not fit; the message names
-            each wrong key with its path.
+        exception.ValidationError: If `value` is invalid; the message names the path of
+            each invalid key.
 
     Examples:
         >>> class Size(Model):
@@ -53,23 +53,24 @@
     try:
         return model.model_validate(value)
     except pydantic.ValidationError as error:
-        found = error.errors(include_url=False, include_context=False)
-    message = "; ".join(_describe_error(item, place) for item in found)
+        errors = error.errors(include_url=False, include_context=False)
+    message = "; ".join(_describe_error(details, path_prefix) for details in errors)
     raise exception.ValidationError(message)
 
 
 def check_json(value):
-    """Raise unless every JSON reader understands `value` in the same way.
+    """Raise unless all JSON parsers read `value` identically.
 
     Args:
         value: Value to check.
 
     Raises:
-        exception.ValidationError: If it is nested too deep, or holds a number
-            that is not finite or too large, broken text, or no JSON type.
+        exception.ValidationError: If `value` is nested too deeply or contains a
+            non-finite number, an integer beyond `MAX_SAFE_INTEGER`, a string that is
+            not valid Unicode, or a type that JSON does not have.
     """
-    # A list of open values instead of recursion: how deep a reader may recurse
-    # depends on its stack, and all readers have to decide alike.
+    # Iterative, because the recursion limit depends on the caller's stack depth and all
+    # replicas must reach the same verdict.
     pending = [(value, 0)]
     while pending:
         current, depth = pending.pop()
@@ -115,14 +116,14 @@
         raise exception.ValidationError("a string is not valid Unicode") from None
 
 
-def _describe_error(item, place):
-    keys = [place] if place else []
-    keys.extend(str(key) for key in item["loc"])
+def _describe_error(details, path_prefix):
+    keys = [path_prefix] if path_prefix else []
+    keys.extend(str(key) for key in details["loc"])
     path = ".".join(keys) or "(top)"
-    message = f"{path}: {item['msg']}"
-    value = item["input"]
-    if HIDDEN_KEYS.intersection(keys) or isinstance(value, (dict, list)):
+    message = f"{path}: {details['msg']}"
+    value = details["input"]
+    if REDACTED_KEYS.intersection(keys) or isinstance(value, (dict, list)):
         return message
-    if item["type"] == "missing":
+    if details["type"] == "missing":
         return message
-    return f"{message}, got {repr(value)[:SHOWN_LENGTH]}"
+    return f"{message}, got {repr(value)[:MAX_QUOTED_CHARS]}"
--- a/pimentowick/configuration/workspace.py
+++ b/pimentowick/configuration/workspace.py
@@ -1,4 +1,4 @@
-"""Workspaces: what each customer may use, and how much of it."""
+"""Workspaces: the models, services and limits granted to each of them."""
 
 import dataclasses
 import typing
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelPolicy:
-    """How a workspace uses a model.
+    """A workspace's access to a model.
 
     Attributes:
-        adapters: Names of the adapters that it may ask for.
-        deadline_s: Seconds that an online request may take.
-        max_tokens: Most tokens that a request may ask for.
+        adapters: Names of the permitted adapters.
+        deadline_s: Maximum duration of an online request, in seconds.
+        max_tokens: Maximum number of tokens that a request may generate.
     """
 
     adapters: tuple = ()
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """How a workspace uses a service.
+    """A workspace's access to a service.
 
     Attributes:
-        idempotent: Whether a request may safely run twice.
-        deadline_s: Seconds that a request may take.
-        max_concurrent: Most requests at a time at one entry, or None.
+        idempotent: Whether requests are idempotent, and so may be retried.
+        deadline_s: Maximum duration of a request, in seconds.
+        max_concurrent: Maximum number of concurrent requests at one entry, or None.
     """
 
     idempotent: bool = False
@@ -46,20 +46,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """One customer's part of the fleet.
+    """The limits and permissions of one workspace.
 
     Attributes:
         name: Name of the workspace.
         version: Version of its document.
-        weight: Share of the fleet relative to the other workspaces.
-        models: `ModelPolicy` by model name; others are refused.
-        services: `ServicePolicy` by service name; others are refused.
-        max_online_concurrent: Most online requests at a time.
-        batch_harm: "averse" or "throughput". Nothing reads it: the agent's setting of
-            this name counts. The key stays because templates in the log may have it.
-        max_jobs_open: Most batch jobs that are not finished.
+        weight: Fair-share weight relative to the other workspaces.
+        models: `ModelPolicy` by model name; requests for other models are rejected.
+        services: `ServicePolicy` by service name; requests for other services are
+            rejected.
+        max_online_concurrent: Maximum number of concurrent online requests.
+        batch_harm: "averse" or "throughput". Unused; the agent's setting of this name
+            applies. The key is still accepted because templates in the log may have it.
+        max_jobs_open: Maximum number of unfinished batch jobs.
         tokens: `tokens.StoredToken` by token id.
-        stopped: Whether all its requests are refused.
+        stopped: Whether all requests of the workspace are rejected.
     """
 
     name: str
@@ -74,53 +75,53 @@
     stopped: bool = False
 
 
-class _ModelTree(validation.Model):
+class _ModelSchema(validation.Model):
     adapters: list[Key] = []
     deadline_s: Seconds = 30.0
     max_tokens: Count = 4096
 
 
-class _ServiceTree(validation.Model):
+class _ServiceSchema(validation.Model):
     idempotent: bool = False
     deadline_s: Seconds = 10.0
     max_concurrent: Count | None = None
 
 
-class _WorkspaceTree(validation.Model):
+class _WorkspaceSchema(validation.Model):
     weight: float = pydantic.Field(default=1.0, gt=0, le=1000)
-    models: dict[Key, _ModelTree] = {}
-    services: dict[Key, _ServiceTree] = {}
+    models: dict[Key, _ModelSchema] = {}
+    services: dict[Key, _ServiceSchema] = {}
     max_online_concurrent: Count = 256
     batch_harm: typing.Literal["averse", "throughput"] = "averse"
     max_jobs_open: Count = 100
 
 
 def parse_workspace(name, version, rendered_tree, tokens, stopped):
-    """Check a filled template and return it as a `Workspace`.
+    """Validate a rendered template and return it as a `Workspace`.
 
     Args:
         name: Name of the workspace.
         version: Version of its document.
-        rendered_tree: What `template.render_workspace` returned.
+        rendered_tree: Settings returned by `template.render_workspace`.
         tokens: Mapping from token id to `tokens.StoredToken`.
-        stopped: Whether its requests are refused.
+        stopped: Whether all requests of the workspace are rejected.
 
     Raises:
-        exception.ValidationError: If the tree has unknown keys or wrong values;
-            the message holds the path of each key.
+        exception.ValidationError: If the tree has unknown keys or invalid values; the
+            message names the path of each invalid key.
 
     Examples:
         >>> tree = {"models": {"m": {"max_tokens": 9}}}
         >>> parse_workspace("acme", 3, tree, {}, False).models["m"].max_tokens
         9
     """
-    parsed = validation.validate(_WorkspaceTree, rendered_tree, "workspace")
+    parsed = validation.validate(_WorkspaceSchema, rendered_tree, "workspace")
     return Workspace(
         name=name,
         version=version,
         weight=parsed.weight,
-        models={key: _make_model(use) for key, use in parsed.models.items()},
-        services={key: _make_service(use) for key, use in parsed.services.items()},
+        models={name: _make_model_policy(m) for name, m in parsed.models.items()},
+        services={name: _make_service_policy(s) for name, s in parsed.services.items()},
         max_online_concurrent=parsed.max_online_concurrent,
         batch_harm=parsed.batch_harm,
         max_jobs_open=parsed.max_jobs_open,
@@ -129,9 +130,9 @@
     )
 
 
-def _make_model(use):
-    return ModelPolicy(tuple(use.adapters), use.deadline_s, use.max_tokens)
+def _make_model_policy(parsed):
+    return ModelPolicy(tuple(parsed.adapters), parsed.deadline_s, parsed.max_tokens)
 
 
-def _make_service(use):
-    return ServicePolicy(use.idempotent, use.deadline_s, use.max_concurrent)
+def _make_service_policy(parsed):
+    return ServicePolicy(parsed.idempotent, parsed.deadline_s, parsed.max_concurrent)
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -315,7 +315,8 @@
             # The first record of the stream can't be a version; see
             # docs/CONFIGURATION.md.
             await follower.append(
-                [{"type": configuration_state_machine.OPENING}], self.settings.append_s
+                [{"type": configuration_state_machine.OPENING_TYPE}],
+                self.settings.append_s,
             )
         await follower.append([record], self.settings.append_s)
         return self.configuration.find_audit_entry(record["id"])
