--- a/pimentowick/platform/__init__.py
+++ b/pimentowick/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform as it speaks: names, formats and calls, nothing that decides."""
+"""The platform's wire names, formats and calls; contains no policy."""
--- a/pimentowick/platform/message.py
+++ b/pimentowick/platform/message.py
@@ -1,4 +1,4 @@
-"""Headers and bodies of requests, answers and batch jobs."""
+"""Headers and bodies of requests, responses and batch jobs on the wire."""
 
 import base64
 import binascii
@@ -32,16 +32,16 @@
 DEADLINE = "X-Pimentowick-Deadline-Ms"
 EXPECT_INSTANCE = "X-Pimentowick-Expect-Instance"
 NOT_EXECUTED = "X-Pimentowick-Not-Executed"
-STAMP = "X-Pimentowick-Server-Stamp"
-LOAD = "X-Pimentowick-Server-Load"
-WAIT = "X-Pimentowick-Wait-Ms"
-LAST_EVENT = "Last-Event-Id"
+SERVER_STAMP = "X-Pimentowick-Server-Stamp"
+SERVER_LOAD = "X-Pimentowick-Server-Load"
+MAX_WAIT = "X-Pimentowick-Wait-Ms"
+LAST_EVENT_ID = "Last-Event-Id"
 AUTHORIZATION = "Authorization"
 SCHEME = "Token"
-# The wire calls a workspace a tenant.
+# A workspace is called a tenant on the wire.
 WORKSPACE = "X-Pimentowick-Tenant"
-# Headers that concern one connection only.
-HOP = {
+# Hop-by-hop headers, which are not forwarded.
+HOP_HEADERS = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -52,26 +52,26 @@
     "expect",
     "content-length",
 }
-BATCH_PATH = re.compile(r"^/-/(lots|items)/([^/?]+)$")
-MAX_ITEMS = 200
-MISDIRECTED = 421
+JOB_PATH = re.compile(r"^/-/(lots|items)/([^/?]+)$")
+MAX_ITEMS_PER_JOB = 200
+STATUS_MISDIRECTED = 421
 
 
 class JobOperation(enum.StrEnum):
-    """What a caller wants of a batch job."""
+    """Operation that a caller requests on a batch job."""
 
     READ = "read"
-    """Its results from a position on."""
+    """Read the results from a position on."""
     BODY = "body"
-    """The body of an item."""
+    """Read the body of an item."""
     END = "end"
-    """That it ends."""
+    """End the job."""
     UNKNOWN = "unknown"
-    """Something that there is not."""
+    """An operation that does not exist."""
 
 
-# The wire calls a batch job a lot.
-BATCH_CALLS = {
+# A batch job is called a lot on the wire.
+JOB_OPERATIONS = {
     ("GET", "lots"): JobOperation.READ,
     ("GET", "items"): JobOperation.BODY,
     ("DELETE", "lots"): JobOperation.END,
@@ -80,15 +80,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHeaders:
-    """What a request's headers say.
+    """Decoded headers of a client's request.
 
     Attributes:
-        request_id: Identifier of this attempt of the client, or "".
-        deadline_s: Seconds that the client waits, or None.
-        wait_s: Seconds that a read may be held.
-        last_event: Event after which a stream goes on, or "".
-        key: Key of the caller's workspace; None if nothing was sent for it, "" if what
-            was sent is no key.
+        request_id: Identifier of this attempt by the client, or "".
+        deadline_s: Seconds until the client gives up, or None.
+        wait_s: Seconds for which a long poll may be held.
+        last_event: Id of the event after which a stream resumes, or "".
+        key: API key of the caller's workspace; None if the request has no Authorization
+            header, "" if the header is malformed.
     """
 
     request_id: str
@@ -100,17 +100,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHeaders:
-    """What the headers of a target's answer say.
+    """Decoded headers of a target's response.
 
     Attributes:
         request_id: Identifier of the request that it answers, or "".
-        is_signed: Whether the target's signature is there.
+        is_signed: Whether the target's stamp is present.
         not_executed: Whether the target states that the request did not run.
-        is_misdirected: Whether another target has the address now.
-        load: Running requests, waiting ones and slots, or None.
-        has_encoding: Whether the body is in an encoding that nobody asked for.
-        closes_connection: Whether the connection ends with the answer.
-        idle_s: Seconds that the target keeps the connection idle, or None.
+        is_misdirected: Whether the address now belongs to another target.
+        load: Running requests, waiting requests and slots, or None.
+        has_encoding: Whether the body has a content encoding that was not requested.
+        closes_connection: Whether the target closes the connection after the response.
+        idle_s: Keep-alive timeout of the target in seconds, or None.
     """
 
     request_id: str
@@ -131,98 +131,115 @@
 
 
 def decode_request_headers(headers):
-    """Return the `RequestHeaders` that a client's headers make."""
+    """Decode a client's headers into `RequestHeaders`."""
     deadline = _read_number(headers, DEADLINE)
-    wait = _read_number(headers, WAIT)
+    wait = _read_number(headers, MAX_WAIT)
     return RequestHeaders(
         request_id=headers.get(REQUEST_ID, ""),
         deadline_s=None if deadline is None else deadline / 1000,
         wait_s=0.0 if wait is None else wait / 1000,
-        last_event=headers.get(LAST_EVENT, ""),
+        last_event=headers.get(LAST_EVENT_ID, ""),
         key=_decode_key(headers),
     )
 
 
 def _decode_key(headers):
-    found = headers.get_list(AUTHORIZATION)
-    if not found:
+    values = headers.get_list(AUTHORIZATION)
+    if not values:
         return None
-    scheme, _, key = found[0].strip().partition(" ")
-    if len(found) > 1 or scheme.lower() != SCHEME.lower():
+    scheme, _, key = values[0].strip().partition(" ")
+    if len(values) > 1 or scheme.lower() != SCHEME.lower():
         return ""
     key = key.strip()
     return "" if " " in key else key
 
 
 def encode_request_headers(
-    headers, left_s, target_id, length, last_event=None, workspace=None, keyed=False
+    headers,
+    remaining_s,
+    target_id,
+    length,
+    last_event=None,
+    workspace=None,
+    keyed=False,
 ):
-    """Return the headers for a target from those of a client.
+    """Build the headers of a request to a target from those of a client.
 
     Args:
         headers: `tornado.httputil.HTTPHeaders` of the client.
-        left_s: Seconds that the target may take, or None.
-        target_id: Identifier that the target must have, so that another one at a
-            reused address refuses.
-        length: Length of the body, in bytes.
-        last_event: Event after which a resumed stream goes on.
-        workspace: Name of the caller's workspace, or None without one.
-        keyed: Whether callers have keys here, which no target may see.
+        remaining_s: Seconds left until the deadline, or None.
+        target_id: Identifier of the expected target, so that a different target at a
+            reused address rejects the request.
+        length: Length of the body in bytes.
+        last_event: Id of the event after which a stream resumes.
+        workspace: Name of the caller's workspace, or None.
+        keyed: Whether callers authenticate with API keys, which are not forwarded to
+            targets.
     """
-    dropped = HOP | {DEADLINE.lower(), EXPECT_INSTANCE.lower(), WORKSPACE.lower()}
+    dropped = HOP_HEADERS | {
+        DEADLINE.lower(),
+        EXPECT_INSTANCE.lower(),
+        WORKSPACE.lower(),
+    }
     if keyed:
         dropped = dropped | {AUTHORIZATION.lower()}
     dropped |= {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
     }
     if last_event is not None:
-        dropped = dropped | {LAST_EVENT.lower()}
-    found = httputil.HTTPHeaders()
+        dropped = dropped | {LAST_EVENT_ID.lower()}
+    target_headers = httputil.HTTPHeaders()
     for name, value in headers.get_all():
-        # Some servers take an underscore in a name for a dash.
+        # Some servers treat underscores in header names as dashes.
         if name.lower().replace("_", "-") not in dropped:
-            found.add(name, value)
-    found["Content-Length"] = str(length)
-    found[EXPECT_INSTANCE] = target_id
-    if left_s is not None:
-        found[DEADLINE] = str(max(1, int(left_s * 1000)))
+            target_headers.add(name, value)
+    target_headers["Content-Length"] = str(length)
+    target_headers[EXPECT_INSTANCE] = target_id
+    if remaining_s is not None:
+        target_headers[DEADLINE] = str(max(1, int(remaining_s * 1000)))
     if last_event is not None:
-        found[LAST_EVENT] = last_event
+        target_headers[LAST_EVENT_ID] = last_event
     if workspace is not None:
-        found[WORKSPACE] = workspace
-    return found
+        target_headers[WORKSPACE] = workspace
+    return target_headers
 
 
-def encode_item_headers(item, size, found, left_s, target_id, last_event=None):
-    """Return the headers for a target from those of an item of a batch job.
+def encode_item_headers(item, size, batch_job, remaining_s, target_id, last_event=None):
+    """Build the headers of a request to a target that runs an item of a batch job.
 
     Args:
         item: The `pimentowick.gateway.job.Item`.
-        size: Length of its body, in bytes.
-        found: Its `pimentowick.gateway.job.Job`.
-        left_s: Seconds that the target may take.
-        target_id: Identifier that the target must have.
-        last_event: Event after which a resumed run goes on.
+        size: Length of its body in bytes.
+        batch_job: Its `pimentowick.gateway.job.Job`.
+        remaining_s: Seconds left until the deadline.
+        target_id: Identifier of the expected target.
+        last_event: Id of the event after which the run resumes.
     """
     headers = httputil.HTTPHeaders()
     for name, value in item.headers.items():
         headers.add(name, value)
-    headers["Host"] = found.host
+    headers["Host"] = batch_job.host
     headers[REQUEST_ID] = item.id
     return encode_request_headers(
-        headers, left_s, target_id, size, last_event, found.workspace, keyed=True
+        headers,
+        remaining_s,
+        target_id,
+        size,
+        last_event,
+        batch_job.workspace,
+        keyed=True,
     )
 
 
 def decode_response_headers(status, headers):
-    """Return what the head of a target's answer says, an `ResponseHeaders`."""
+    """Decode status and headers of a target's response into `ResponseHeaders`."""
     keep_alive = re.search(r"timeout=(\d+)", headers.get("Keep-Alive", ""))
     return ResponseHeaders(
         request_id=headers.get(REQUEST_ID, ""),
-        is_signed=STAMP in headers,
-        not_executed=NOT_EXECUTED in headers or status == MISDIRECTED,
-        is_misdirected=status == MISDIRECTED,
-        load=_decode_load(headers.get(LOAD)),
+        is_signed=SERVER_STAMP in headers,
+        not_executed=NOT_EXECUTED in headers or status == STATUS_MISDIRECTED,
+        is_misdirected=status == STATUS_MISDIRECTED,
+        load=_decode_load(headers.get(SERVER_LOAD)),
         has_encoding=headers.get("Content-Encoding", "identity") != "identity",
         closes_connection="close" in headers.get("Connection", "").lower(),
         idle_s=float(keep_alive.group(1)) if keep_alive else None,
@@ -238,16 +255,16 @@
 
 
 def remove_hop_headers(headers):
-    """Return an answer's headers without those of its connection."""
-    dropped = HOP - {"content-length"}
+    """Return the headers of a response without the hop-by-hop headers."""
+    dropped = HOP_HEADERS - {"content-length"}
     dropped |= {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
     }
-    found = httputil.HTTPHeaders()
+    end_to_end = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
-            found.add(name, value)
-    return found
+            end_to_end.add(name, value)
+    return end_to_end
 
 
 class _Item(pydantic.BaseModel):
@@ -259,33 +276,30 @@
 
 
 class _Submission(pydantic.BaseModel):
-    items: list[_Item] = pydantic.Field(min_length=1, max_length=MAX_ITEMS)
+    items: list[_Item] = pydantic.Field(min_length=1, max_length=MAX_ITEMS_PER_JOB)
 
 
 def decode_submission(body):
-    """Return (items, bodies) of a batch job.
+    """Decode a submitted batch job into items and their bodies.
 
-    Items are `pimentowick.gateway.job.Item` objects without references of bodies.
+    Items are `pimentowick.gateway.job.Item` objects without body references.
 
     Raises:
-        ValidationError: The body is no batch job.
+        ValidationError: The submission is malformed.
     """
     try:
         data = _Submission.model_validate(orjson.loads(body))
-        bodies = [base64.b64decode(entry.body, validate=True) for entry in data.items]
+        bodies = [base64.b64decode(row.body, validate=True) for row in data.items]
     except (ValueError, binascii.Error) as error:
         raise exception.ValidationError(f"Batch job: {error}") from error
-    items = [
-        job.Item(entry.id, entry.path, entry.headers, entry.tokens)
-        for entry in data.items
-    ]
+    items = [job.Item(row.id, row.path, row.headers, row.tokens) for row in data.items]
     if len({item.id for item in items}) < len(items):
         raise exception.ValidationError("Batch job: an item stands twice.")
     return items, bodies
 
 
 def find_job_operation(method, path):
-    """Return (`JobOperation`, job id) of a call about a batch job, or None.
+    """Return the `JobOperation` and job id of a request, or None if it has neither.
 
     Examples:
         >>> find_job_operation("GET", "/-/lots/7c41")
@@ -293,16 +307,16 @@
         >>> find_job_operation("PUT", "/-/items/7c41")
         (<JobOperation.UNKNOWN: 'unknown'>, '7c41')
     """
-    found = BATCH_PATH.match(path)
-    if found is None:
+    match = JOB_PATH.match(path)
+    if match is None:
         return None
-    collection, job_id = found.groups()
-    return BATCH_CALLS.get((method, collection), JobOperation.UNKNOWN), job_id
+    collection, job_id = match.groups()
+    return JOB_OPERATIONS.get((method, collection), JobOperation.UNKNOWN), job_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedResult:
-    """A result as callers read it."""
+    """A result as listed for callers."""
 
     id: str
     done: bool
@@ -310,9 +324,13 @@
 
 
 def encode_results(total, after, results):
-    """Return the body that lists results from the position `after` on."""
+    """Encode the body that lists results, starting at position `after`."""
     rows = [
-        {"id": entry.id, "state": "done" if entry.done else "dead", "text": entry.text}
-        for entry in results
+        {
+            "id": result.id,
+            "state": "done" if result.done else "dead",
+            "text": result.text,
+        }
+        for result in results
     ]
     return orjson.dumps({"total": total, "next": after + len(results), "results": rows})
--- a/pimentowick/platform/node.py
+++ b/pimentowick/platform/node.py
@@ -1,8 +1,8 @@
 """The settings file that the platform writes for each process.
 
 Notes:
-    Lines of the form ``a.b=value``, lists joined by commas. Fields that are not read
-    here are passed over, so that new ones do no harm.
+    The file consists of lines of the form ``a.b=value``, with comma-separated lists.
+    Unknown fields are ignored for forward compatibility.
 """
 
 import dataclasses
@@ -21,26 +21,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process learns about its host.
+    """The host's addresses and the platform's limits, as decoded from the file.
 
     Attributes:
         name: Name of the host.
-        ip: IP number of the host.
+        ip: IP address of the host.
         failure_domain: Failure domain of the host.
-        callers_address: ``IP:port`` for callers.
-        ready_address: ``IP:port`` of the balancer's readiness checks.
-        peer_ports: First and last port for traffic between hosts.
+        callers_address: ``IP:port`` of the endpoint for callers.
+        ready_address: ``IP:port`` of the readiness endpoint for the balancer.
+        peer_ports: First and last port of the range for traffic between hosts.
         store_address: ``IP:port`` of the platform's store.
         stop_grace_s: Seconds from SIGTERM until SIGKILL.
-        drain_s: Seconds after which a leaving target gets no new work.
-        result_retention_s: Seconds after its submission that a job stays readable.
-        min_lease_s: Shortest lease that the store's groups take, in seconds.
-        record_bytes: Largest record of the store.
-        call_bytes: Most bytes of the records of one append.
-        parts: Partitions of a topic.
+        drain_s: Seconds after which a draining target must receive no new work.
+        result_retention_s: Seconds after submission for which a job stays readable.
+        min_lease_s: Minimum lease of a group membership in the store, in seconds.
+        record_bytes: Maximum size of a record in the store.
+        call_bytes: Maximum total size of the records of one append.
+        parts: Number of partitions of a topic.
         key_revocation_s: Seconds within which every host must reject a revoked key,
             even a host that cannot reach the store; None if there is no bound.
-        link_mbps: What the host's link carries, in megabits a second.
+        link_mbps: Bandwidth of the host's network link in megabits per second.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 
 class _Fields(pydantic.BaseModel):
-    """The fields of the file, by their names in it."""
+    """Schema of the file; the aliases are the names used there."""
 
     node_name: str
     ip: str
@@ -83,14 +83,14 @@
     revoke_ms: float = pydantic.Field(5000.0, alias="bounds.revoke_ms")
 
 
-def _explain(path, numbers, error):
-    """Return a line for each fault: file, line, key, and what was expected."""
+def _describe_errors(path, line_numbers, error):
+    """Describe each validation error with file, line number, key and expected value."""
     rows = []
-    for fault in error.errors(include_url=False):
-        key = str(fault["loc"][0])
-        place = f"{path}:{numbers[key]}" if key in numbers else str(path)
-        given = "" if fault["type"] == "missing" else f", not {fault['input']!r}"
-        rows.append(f"{place}: {key}: {fault['msg']}{given}")
+    for details in error.errors(include_url=False):
+        key = str(details["loc"][0])
+        location = f"{path}:{line_numbers[key]}" if key in line_numbers else str(path)
+        actual = "" if details["type"] == "missing" else f", not {details['input']!r}"
+        rows.append(f"{location}: {key}: {details['msg']}{actual}")
     return "\n".join(rows)
 
 
@@ -100,25 +100,27 @@
 
 
 def read_settings(path):
-    """Return the `NodeSettings` that a file holds.
+    """Read the `NodeSettings` from a file.
 
     Raises:
-        SettingsError: The file is missing, or a field of it is.
+        SettingsError: The file is unreadable, or a field is missing or invalid.
     """
     try:
         lines = pathlib.Path(path).read_text(encoding="utf-8").splitlines()
     except (OSError, ValueError) as error:
         raise exception.SettingsError(f"{path}: {error}") from error
     values = {}
-    numbers = {}
+    line_numbers = {}
     for number, line in enumerate(lines, 1):
         key, _, value = line.partition("=")
         values[key.strip()] = value.strip()
-        numbers[key.strip()] = number
+        line_numbers[key.strip()] = number
     try:
         fields = _Fields(**values)
     except pydantic.ValidationError as error:
-        raise exception.SettingsError(_explain(path, numbers, error)) from error
+        raise exception.SettingsError(
+            _describe_errors(path, line_numbers, error)
+        ) from error
     first, _, last = fields.port_range.partition(",")
     ports = (int(first), int(last or first))
     return NodeSettings(
--- a/pimentowick/platform/operator.py
+++ b/pimentowick/platform/operator.py
@@ -1,8 +1,8 @@
-"""Configuration and targets as the operator and the targets write them.
+"""Decoding of the operator's configuration and of the targets' registrations.
 
 Notes:
-    Both lie in keyed topics of the store. Entries of targets may come from other
-    writers: what cannot be read names no target.
+    Both are stored in keyed topics. Other writers may write to the topic of the
+    targets, so malformed registrations are ignored.
 """
 
 import orjson
@@ -50,7 +50,7 @@
     resumable: bool = False
     run_target_ms: float = 0.0
     retention_s: float = 60.0
-    # The wire's name says nothing of the unit: it counts tokens that may wait.
+    # Counts the tokens of waiting batch items, despite the name on the wire.
     max_count: float = 0
     public: bool = False
 
@@ -84,7 +84,7 @@
 
 
 class _Registration(pydantic.BaseModel):
-    """An entry of a target; `slots` is how many requests it runs at once."""
+    """Registration of a target; `slots` is its maximum number of running requests."""
 
     service: str
     address: str
@@ -95,21 +95,21 @@
 
 
 def decode_configuration(value):
-    """Return the `pimentowick.gateway.route.Configuration` that a record holds.
+    """Decode a record into a `pimentowick.gateway.route.Configuration`.
 
     Raises:
-        ValidationError: The record holds something else.
+        ValidationError: The record is malformed.
     """
     try:
         data = _Configuration.model_validate(orjson.loads(value))
     except pydantic.ValidationError as error:
-        raise exception.ValidationError(_explain(error)) from None
+        raise exception.ValidationError(_describe_errors(error)) from None
     except ValueError as error:
         raise exception.ValidationError(f"Configuration: {error}") from error
     return route.Configuration(
         version=data.version,
-        routes=tuple(_make_route(entry) for entry in data.routes),
-        max_connections={entry.name: entry.max_conns for entry in data.services},
+        routes=tuple(_make_route(route_data) for route_data in data.routes),
+        max_connections={service.name: service.max_conns for service in data.services},
         limits=route.Limits(
             header_bytes=data.limits.max_header_bytes,
             body_bytes=data.limits.max_body_bytes,
@@ -120,10 +120,10 @@
     )
 
 
-def _explain(error):
-    """Return what is wrong with a record, without the values that it holds."""
-    faults = error.errors(include_url=False, include_input=False, include_context=False)
-    rows = [f"{'.'.join(map(str, row['loc']))}: {row['msg']}" for row in faults]
+def _describe_errors(error):
+    """Describe the errors in a record without its values, which may be API keys."""
+    errors = error.errors(include_url=False, include_input=False, include_context=False)
+    rows = [f"{'.'.join(map(str, row['loc']))}: {row['msg']}" for row in errors]
     return f"Configuration: {'; '.join(rows)}"
 
 
@@ -133,38 +133,42 @@
     return workspace.Directory(
         {
             workspace.Workspace(
-                entry.name, entry.priority, entry.rate_per_s, entry.burst
-            ): entry.api_keys
-            for entry in tenants
+                tenant.name, tenant.priority, tenant.rate_per_s, tenant.burst
+            ): tenant.api_keys
+            for tenant in tenants
         }
     )
 
 
-def _make_route(entry):
-    shares = {share.service: share.weight for share in entry.split}
-    if not shares and entry.service is not None:
-        shares = {entry.service: 1.0}
+def _make_route(route_data):
+    shares = {share.service: share.weight for share in route_data.split}
+    if not shares and route_data.service is not None:
+        shares = {route_data.service: 1.0}
     return route.Route(
-        name=entry.name,
-        host=entry.host,
-        path_prefix=entry.path_prefix,
-        # An unknown kind says nothing of repeating: the strictest holds.
-        kind=KINDS.get(entry.kind, route.Kind.ONCE),
+        name=route_data.name,
+        host=route_data.host,
+        path_prefix=route_data.path_prefix,
+        # Requests of an unknown kind may not be idempotent, so they are not retried.
+        kind=KINDS.get(route_data.kind, route.Kind.ONCE),
         services=shares,
-        timeout_s=entry.timeout_ms / 1000,
-        objective_s=entry.slo_ms / 1000,
-        priority=entry.priority,
-        max_attempts=entry.max_attempts,
-        resumable=entry.resumable,
-        due_s=entry.run_target_ms / 1000,
-        abandon_after_s=entry.retention_s,
-        max_waiting_tokens=entry.max_count,
-        is_public=entry.public,
+        timeout_s=route_data.timeout_ms / 1000,
+        objective_s=route_data.slo_ms / 1000,
+        priority=route_data.priority,
+        max_attempts=route_data.max_attempts,
+        resumable=route_data.resumable,
+        due_s=route_data.run_target_ms / 1000,
+        abandon_after_s=route_data.retention_s,
+        max_waiting_tokens=route_data.max_count,
+        is_public=route_data.public,
     )
 
 
 def decode_target(key, value):
-    """Return the `pimentowick.gateway.target.Registration` of a record, or None."""
+    """Decode a record into a `pimentowick.gateway.target.Registration`.
+
+    Returns:
+        The registration, or None if the record is malformed.
+    """
     try:
         data = _Registration.model_validate(orjson.loads(value))
         host, _, port = data.address.rpartition(":")
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -1,10 +1,10 @@
-"""Calls to the platform's store, an append-only log with keyed topics and groups.
+"""Client of the platform's store, an append-only log with keyed topics and groups.
 
 Notes:
-    In a topic whose name begins with ``keyed.`` a record holds a key and a value; the
-    newest record of each key is kept for good, and a record without a value drops
-    its key. A 503 or 429 says that nothing was done. A call without an answer may
-    have taken effect, or may do so seconds later.
+    In a topic whose name begins with ``keyed.``, a record has a key and a value. Such a
+    topic is compacted: the newest record of each key is retained, and a record without
+    a value deletes its key. A 503 or 429 means that the call had no effect. A call
+    without a response may have taken effect, or may still do so seconds later.
 """
 
 import base64
@@ -28,41 +28,41 @@
     "make_topic_name",
 ]
 
-LENGTH = struct.Struct(">I")
-HEAD = struct.Struct(">QQ")
-MAX_CALLS = 24
-# Bound of an answer that keeps arriving.
-LONGEST_READ_S = 30.0
-# What an entry's link moves at least while others use it, too.
-LEAST_BYTES_PER_S = 300_000
-# Statuses of calls that the store has taken up; 412 and 410 are answers to what was
-# asked, 404 to a topic that nobody has written yet.
-SERVED = (200, 404, 410, 412)
+RECORD_LENGTH = struct.Struct(">I")
+PAGE_HEADER = struct.Struct(">QQ")
+MAX_CONNECTIONS = 24
+# Total timeout of a read whose response keeps arriving.
+MAX_READ_S = 30.0
+# Minimum throughput of an entry's link that is shared with other traffic.
+MIN_BYTES_PER_S = 300_000
+# Statuses which show that the store is reachable: 404 is a topic without records, 410 a
+# truncated offset, 412 a failed conditional append.
+SERVED_STATUSES = (200, 404, 410, 412)
 
 
 class RejectedError(exception.LogError):
-    """The store did nothing."""
+    """The store rejected the call; it had no effect."""
 
 
 class UnknownOutcomeError(exception.LogError):
-    """The store gave no answer; a write may have taken effect, or may do so late."""
+    """The outcome of the call is unknown; a write may take effect even later."""
 
 
 class OffsetConflictError(exception.LogError):
-    """The partition does not end where a conditional append expected it.
+    """A conditional append failed because the partition has a different end offset.
 
     Attributes:
         end: Offset that the next record gets.
     """
 
     def __init__(self, end):
-        super().__init__(f"The partition ends at {end}.")
+        super().__init__(f"Conditional append failed: the partition ends at {end}.")
         self.end = end
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; an empty value drops the key."""
+    """A record of a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -71,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Records as one read returned them.
+    """The records returned by one read.
 
     Attributes:
         records: The records.
-        end: Offset behind the last of them.
-        log_end: Offset behind the last record of the partition as of the read; more
-            than `end` where one read does not reach there.
+        end: Offset after the last record of the page.
+        log_end: End offset of the partition at the time of the read; greater than `end`
+            if the page does not reach the end.
     """
 
     records: list
@@ -87,14 +87,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartitionAssignment:
-    """What a group deals to a member: a generation and partition numbers."""
+    """The partitions assigned to a group member, and the group's generation."""
 
     generation: int
     parts: frozenset
 
 
 def make_topic_name(name):
-    """Return the wire's name of a keyed topic.
+    """Return the name on the wire of a keyed topic.
 
     Examples:
         >>> make_topic_name("jobs")
@@ -106,14 +106,14 @@
 def _encode_record(record):
     key = record.key.encode()
     content = bytes([len(key)]) + key + record.value
-    return LENGTH.pack(len(content)) + content
+    return RECORD_LENGTH.pack(len(content)) + content
 
 
 def _decode_record(content, offset):
-    """Return the `KeyedRecord`, or None where the bytes hold none.
+    """Decode a `KeyedRecord`; return None if it is malformed.
 
-    Other writers share the topics of the operator and the targets: a record that
-    cannot be read names nothing and must not hide the others.
+    Other writers share the topics of the operator and the targets: a malformed record
+    must not prevent reading the others.
     """
     if not content:
         return None
@@ -126,12 +126,12 @@
 
 
 def _decode_page(body, offset):
-    end, _ = HEAD.unpack_from(body)
-    at = HEAD.size
+    end, _ = PAGE_HEADER.unpack_from(body)
+    at = PAGE_HEADER.size
     records = []
-    while at + LENGTH.size <= len(body):
-        (size,) = LENGTH.unpack_from(body, at)
-        at += LENGTH.size
+    while at + RECORD_LENGTH.size <= len(body):
+        (size,) = RECORD_LENGTH.unpack_from(body, at)
+        at += RECORD_LENGTH.size
         record = _decode_record(body[at : at + size], offset)
         if record is not None:
             records.append(record)
@@ -141,16 +141,16 @@
 
 
 class Store:
-    """One client of the store.
+    """A client of the store.
 
     Args:
         address: ``IP:port``.
-        timeout_s: Bound of a call that writes, in seconds, and longest silence of
-            one that reads; without the time it may wait, and the way of its bytes.
+        timeout_s: Timeout of a write and idle timeout of a read, in seconds. The
+            long-poll time of a read and the transfer time of a large write are added.
 
     Attributes:
         calls: Number of calls sent, by name.
-        bytes: Bytes of bodies, by name of the call and direction, out or in.
+        bytes: Bytes of bodies, by name of the call and direction ("out" or "in").
         last_contact_at: Monotonic time at which the latest call that the store served
             was sent.
     """
@@ -161,50 +161,50 @@
         self.calls = collections.Counter()
         self.bytes = collections.Counter()
         self.last_contact_at = float("-inf")
-        self._client = client.Client(max_connections=MAX_CALLS)
+        self._client = client.Client(max_connections=MAX_CONNECTIONS)
 
     async def start(self):
-        """Make the connections' pool."""
+        """Create the connection pool."""
         await self._client.start()
 
     async def close(self):
-        """Drop all connections."""
+        """Close all connections."""
         await self._client.close()
 
     async def append(self, topic, part, records, at):
-        """Append records if the partition ends at the offset `at`.
+        """Append records if the partition ends at offset `at`; None skips the check.
 
         Returns:
-            The offset behind the last record.
+            The offset after the last record.
 
         Raises:
-            OffsetConflictError: The partition ends elsewhere.
-            RejectedError: Nothing was done.
-            UnknownOutcomeError: The outcome is not known.
+            OffsetConflictError: The partition ends at a different offset.
+            RejectedError: The append had no effect.
+            UnknownOutcomeError: The append may have taken effect.
         """
         query = {"topic": topic, "part": part}
         if at is not None:
             query["at"] = at
         body = b"".join(_encode_record(record) for record in records)
-        answer = await self._call("POST", "/-/log-append", query, body)
-        if answer.status == 412:
-            raise OffsetConflictError(_read_integer(answer, "end"))
-        self._check(answer)
-        return _read_integer(answer, "end")
+        response = await self._call("POST", "/-/log-append", query, body)
+        if response.status == 412:
+            raise OffsetConflictError(_read_integer(response, "end"))
+        self._check(response)
+        return _read_integer(response, "end")
 
     async def read(self, topic, part, offset, wait_s=0.0, max_kb=None):
-        """Return the `Page` of records from `offset` on.
+        """Read the `Page` of records that starts at `offset`.
 
         Args:
             topic: Name of the topic.
             part: Number of the partition.
-            offset: Offset of the first record wanted.
-            wait_s: How long the store may hold the call while there is none.
-            max_kb: Most kilobytes of records wanted; the store's own limit without.
+            offset: Offset of the first record.
+            wait_s: Long-poll time in seconds while there are no records.
+            max_kb: Maximum size of the page in kilobytes; None for the store's limit.
 
         Raises:
-            LogTruncatedError: The records are gone; read the newest of each key.
-            LogError: There is no answer.
+            LogTruncatedError: The records have been deleted; use `read_newest`.
+            LogError: The read failed.
         """
         query = {
             "topic": topic,
@@ -214,33 +214,40 @@
         }
         if max_kb is not None:
             query["max_kb"] = max_kb
-        answer = await self._call("GET", "/-/log-read", query, wait_s=wait_s)
-        if answer.status == 410:
-            raise exception.LogTruncatedError(f"{topic}: {offset} is gone.")
-        if answer.status == 404:
+        response = await self._call("GET", "/-/log-read", query, wait_s=wait_s)
+        if response.status == 410:
+            raise exception.LogTruncatedError(
+                f"Topic {topic}: offset {offset} has been truncated."
+            )
+        if response.status == 404:
             return Page([], offset, offset)
-        self._check(answer)
-        if len(answer.body) < HEAD.size:
-            raise UnknownOutcomeError("The page is too short.")
-        page = _decode_page(answer.body, offset)
+        self._check(response)
+        if len(response.body) < PAGE_HEADER.size:
+            raise UnknownOutcomeError(
+                f"Malformed page of {topic}: shorter than {PAGE_HEADER.size} bytes."
+            )
+        page = _decode_page(response.body, offset)
         if page.log_end < offset:
-            # The log never shrinks: another partition has taken its place.
-            raise exception.LogTruncatedError(f"{topic} ends at {page.log_end}.")
+            # The end offset never decreases: the partition has been replaced.
+            raise exception.LogTruncatedError(
+                f"Topic {topic} ends at {page.log_end}, before offset {offset}."
+            )
         return page
 
     async def read_newest(self, topic, part, on_page=lambda records: None):
-        """Return the newest record of each key, as a `Page`.
+        """Read the newest record of each key, as one `Page`.
 
-        The pages are no snapshot, so `end` is that of the first and `log_end` that of
-        the last: reading on from `end` brings whatever changed in between.
+        The calls do not form a consistent snapshot, so `end` is the end offset at the
+        first call and `log_end` that at the last. Reading on from `end` returns the
+        changes in between.
 
         Args:
             topic: Name of the topic.
             part: Number of the partition.
-            on_page: Function that gets the records of each page as it comes.
+            on_page: Callback that receives the records of each page.
 
         Raises:
-            LogError: There is no answer.
+            LogError: The read failed.
         """
         records = []
         end = None
@@ -255,17 +262,17 @@
     async def read_prefix(self, topic, part, prefix):
         """Return the newest records of the keys that begin with a prefix.
 
-        Keys come in order, so that the pages begin at the prefix. Where none is found
-        so, all keys are looked at: the order is not promised.
+        Assumes that keys are listed in order and starts at the prefix. If that finds no
+        key, all keys are scanned, since the store does not guarantee the order.
 
         Raises:
-            LogError: There is no answer.
+            LogError: The read failed.
         """
         found = []
         async for page in self._list_pages(topic, part, prefix):
-            mine = [row for row in page.records if row.key.startswith(prefix)]
-            found += mine
-            if len(mine) < len(page.records):
+            matching = [row for row in page.records if row.key.startswith(prefix)]
+            found += matching
+            if len(matching) < len(page.records):
                 break
         if found:
             return found
@@ -273,17 +280,17 @@
         return [record for record in page.records if record.key.startswith(prefix)]
 
     async def _list_pages(self, topic, part, after):
-        """Yield a `Page` for each page of the newest records behind a key."""
+        """Yield a `Page` for each page of the newest records after a key."""
         while True:
             query = {"topic": topic, "part": part}
             if after is not None:
                 query["after"] = after
-            answer = await self._call("GET", "/-/log-newest", query)
-            if answer.status == 404:
+            response = await self._call("GET", "/-/log-newest", query)
+            if response.status == 404:
                 return
-            self._check(answer)
-            data = answer.decode()
-            rows = [_decode_item(item) for item in data["items"]]
+            self._check(response)
+            data = response.decode()
+            rows = [_decode_row(row) for row in data["items"]]
             found = [record for record in rows if record is not None]
             yield Page(found, data["end"], data["end"])
             if not data.get("has_more") or not data["items"]:
@@ -299,71 +306,72 @@
             "ttl_ms": int(lease_s * 1000),
             "generation": generation,
         }
-        answer = await self._call("POST", "/-/log-join", body=data)
-        self._check(answer)
-        found = answer.decode()
+        response = await self._call("POST", "/-/log-join", body=data)
+        self._check(response)
+        found = response.decode()
         parts = frozenset(row[1] for row in found["parts"])
         return PartitionAssignment(found["generation"], parts)
 
     async def leave(self, group, member):
-        """Give all partitions back at once."""
+        """Leave a group, which releases all its partitions immediately."""
         data = {"group": group, "member": member}
         self._check(await self._call("POST", "/-/log-leave", body=data))
 
     async def _call(self, method, path, query=None, body=None, wait_s=0.0):
         sent_at = time.monotonic()
-        answer = await self._send(method, path, query, body, wait_s)
-        if answer.status in SERVED:
+        response = await self._send(method, path, query, body, wait_s)
+        if response.status in SERVED_STATUSES:
             self.last_contact_at = max(self.last_contact_at, sent_at)
-        return answer
+        return response
 
     async def _send(self, method, path, query, body, wait_s):
         name = path.rpartition("-")[2]
         size = len(body) if isinstance(body, bytes) else 0
         self.calls[name] += 1
         self.bytes[name, "out"] += size
-        target = path
+        uri = path
         if query:
-            target += "?" + urllib.parse.urlencode(query)
+            uri += "?" + urllib.parse.urlencode(query)
         try:
             if method == "GET":
-                answer = await self._read(target, self.timeout_s + wait_s)
-                self.bytes[name, "in"] += len(answer.body)
-                return answer
-            timeout_s = self.timeout_s + size / LEAST_BYTES_PER_S
+                response = await self._read(uri, self.timeout_s + wait_s)
+                self.bytes[name, "in"] += len(response.body)
+                return response
+            timeout_s = self.timeout_s + size / MIN_BYTES_PER_S
             return await self._client.fetch(
-                method, self.address, target, body, timeout_s=timeout_s
+                method, self.address, uri, body, timeout_s=timeout_s
             )
         except client.TransportError as error:
             raise UnknownOutcomeError(str(error)) from error
 
-    async def _read(self, target, silent_s):
-        # Given up on after a time, all of a topic would never get through a link
-        # that is slow or shared, and an entry that started anew would know no jobs.
+    async def _read(self, uri, idle_timeout_s):
+        # An idle timeout instead of a total one: over a slow or shared link, a large
+        # topic takes longer than `timeout_s`, and a restarted entry has to read all of
+        # it before it knows its jobs.
         stream = self._client.open_stream(
-            "GET", self.address, target, timeout_s=LONGEST_READ_S, idle_s=silent_s
+            "GET", self.address, uri, timeout_s=MAX_READ_S, idle_s=idle_timeout_s
         )
         return await stream.read_rest()
 
-    def _check(self, answer):
-        if answer.status == 200:
+    def _check(self, response):
+        if response.status == 200:
             return
-        if answer.status in (429, 503, 507):
-            raise RejectedError(f"The store answered {answer.status}.")
-        raise UnknownOutcomeError(f"The store answered {answer.status}.")
+        if response.status in (429, 503, 507):
+            raise RejectedError(f"The store answered with status {response.status}.")
+        raise UnknownOutcomeError(f"The store answered with status {response.status}.")
 
 
-def _read_integer(answer, name):
-    value = answer.decode().get(name)
+def _read_integer(response, name):
+    value = response.decode().get(name)
     if not isinstance(value, int):
-        raise UnknownOutcomeError(f"The store's answer has no {name}.")
+        raise UnknownOutcomeError(f"The store's response has no integer {name!r}.")
     return value
 
 
-def _decode_item(item):
-    """Return the `KeyedRecord` of an entry of ``log-newest``, or None."""
+def _decode_row(row):
+    """Decode a row of ``log-newest`` into a `KeyedRecord`; None if malformed."""
     try:
-        value = base64.b64decode(item["value"] or "")
-        return KeyedRecord(item["key"], value, item["offset"])
+        value = base64.b64decode(row["value"] or "")
+        return KeyedRecord(row["key"], value, row["offset"])
     except (KeyError, TypeError, binascii.Error):
         return None
--- a/pimentowick/platform/tests/test_node.py
+++ b/pimentowick/platform/tests/test_node.py
@@ -22,26 +22,26 @@
     return node.read_settings(path)
 
 
-def test_settings_are_read_and_unknown_keys_passed_over(tmp_path):
-    found = read(tmp_path, LINES)
-    assert found.peer_ports == (7000, 7009)
-    assert found.stop_grace_s == 6.0
+def test_settings_are_read_and_unknown_keys_ignored(tmp_path):
+    settings = read(tmp_path, LINES)
+    assert settings.peer_ports == (7000, 7009)
+    assert settings.stop_grace_s == 6.0
 
 
 @pytest.mark.parametrize(
-    ("number", "line", "wanted"),
+    ("number", "line", "expected_words"),
     [
         (7, "bounds.grace_s = soon", ["node.conf:8", "bounds.grace_s", "number"]),
         (5, "port_range = many", ["node.conf:6", "port_range", "'many'"]),
         (1, "", ["ip", "required"]),
     ],
 )
-def test_fault_is_named_with_file_line_key_and_what_was_expected(
-    tmp_path, number, line, wanted
+def test_error_names_file_line_key_and_expected_value(
+    tmp_path, number, line, expected_words
 ):
-    # The platform writes the file; whoever reads the log has to see what to change.
+    # The platform writes the file, so the error has to locate the invalid line.
     lines = list(LINES)
     lines[number] = line
     with pytest.raises(exception.SettingsError) as caught:
         read(tmp_path, lines)
-    assert all(word in str(caught.value) for word in wanted)
+    assert all(word in str(caught.value) for word in expected_words)
--- a/pimentowick/platform/tests/test_store.py
+++ b/pimentowick/platform/tests/test_store.py
@@ -10,17 +10,17 @@
 
 def run_with(check):
     async def run():
-        outside = platform_store.PlatformStore()
-        await outside.start()
-        client = store.Store(outside.address, TIMEOUT_S)
+        fake_store = platform_store.PlatformStore()
+        await fake_store.start()
+        client = store.Store(fake_store.address, TIMEOUT_S)
         await client.start()
         for number in range(4):
-            outside.put("keyed.t", f"k{number}", b"x" * 20_000)
+            fake_store.put("keyed.t", f"k{number}", b"x" * 20_000)
         try:
-            await check(outside, client)
+            await check(fake_store, client)
         finally:
             await client.close()
-            await outside.close()
+            await fake_store.close()
 
     asyncio.run(run())
 
@@ -34,13 +34,12 @@
 
 
 @pytest.mark.parametrize("read", [read_newest, read_log])
-def test_answer_that_keeps_arriving_over_a_slow_link_is_read_to_its_end(read):
-    # All hosts return from a loss of power and read all of a large topic through
-    # their small links. Each read would be given up on before its end, again and
-    # again, and no entry would know the jobs that it has to run.
-    async def check(outside, client):
+def test_slow_response_is_read_to_its_end(read):
+    # After a power loss, all hosts read a large topic over slow links. With a total
+    # timeout no read would ever complete, and no entry would learn its jobs.
+    async def check(fake_store, client):
         order = faults.Order("trickle", seconds=TIMEOUT_S / 4, path="/-/log-")
-        outside.board.place(order)
+        fake_store.board.place(order)
         page = await read(client)
         assert [len(record.value) for record in page.records] == [20_000] * 4
         assert page.end == 4
@@ -49,21 +48,21 @@
 
 
 @pytest.mark.parametrize("read", [read_newest, read_log])
-def test_answer_that_stops_arriving_is_given_up(read):
-    # The connection falls silent in the middle of an answer.
-    async def check(outside, client):
-        outside.board.place(faults.Order("stall", path="/-/log-"))
+def test_stalled_response_times_out(read):
+    # The connection stalls in the middle of a response.
+    async def check(fake_store, client):
+        fake_store.board.place(faults.Order("stall", path="/-/log-"))
         with pytest.raises(store.UnknownOutcomeError):
             await read(client)
 
     run_with(check)
 
 
-def test_large_append_gets_the_time_that_its_bytes_take():
-    # Given up on after the time of a small call, an append over a slow link would
-    # never get through, however often it is tried again.
-    async def check(outside, client):
-        outside.board.place(faults.Order("slow", seconds=TIMEOUT_S * 1.5))
+def test_timeout_of_an_append_grows_with_its_size():
+    # With the timeout of a small call, a large append over a slow link would never
+    # complete, however often it is retried.
+    async def check(fake_store, client):
+        fake_store.board.place(faults.Order("slow", seconds=TIMEOUT_S * 1.5))
         records = [store.KeyedRecord("k", b"x" * 600_000)]
         assert await client.append("keyed.t", 0, records, 4) == 5
         with pytest.raises(store.UnknownOutcomeError):
