--- a/pimentowick/entry/__init__.py
+++ b/pimentowick/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that takes requests from callers and operators."""
+"""The entry daemon, which serves the requests of callers and operators."""
--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -1,9 +1,9 @@
-"""The audit trail: who changed, ordered, claimed or cancelled what.
+"""HTTP handlers of the audit trail.
 
-The trail is a view over the streams, not a stream of its own: each change is a
-record of the log anyway, and a second record of it could be lost or disagree. An
-entry knows the configuration stream and the shards that it follows, and asks the
-other entries for the rest.
+The audit trail is a view of the log streams, not a separate stream: every change is
+already a record in the log, and a second copy could get lost or contradict it. An entry
+reads the configuration stream and the shards that it follows, and queries the other
+entries for the remaining shards.
 """
 
 import dataclasses
@@ -14,26 +14,26 @@
 from pimentowick.configuration import state_machine as configuration_state_machine
 from pimentowick.entry import handler
 
-__all__ = ["AuditHandler", "CallerAuditHandler", "Query", "collect_notes"]
+__all__ = ["AuditHandler", "CallerAuditHandler", "Query", "find_audit_events"]
 
-AUDIT_LIMIT = 200
-MAX_AUDIT_LIMIT = 5000
-FIELDS = ("kind", "name", "by", "workspace")
+DEFAULT_LIMIT = 200
+MAX_LIMIT = 5000
+FILTER_FIELDS = ("kind", "name", "by", "workspace")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Query:
-    """Which notes are asked for; None means any.
+    """Filter of audit events; None matches any value.
 
     Attributes:
         kind: ``template``, ``workspace``, ``fleet``, ``order``, ``claim``,
             ``release`` or ``cancel``.
         name: Name of the document or host, or id of the job.
         by: Operator, caller or owner.
-        workspace: Workspace that the note is about.
-        since: Least time, in epoch seconds.
-        until: Greatest time, in epoch seconds.
-        limit: Most notes.
+        workspace: Workspace that the event concerns.
+        since: Earliest time in epoch seconds.
+        until: Latest time in epoch seconds.
+        limit: Maximum number of events.
     """
 
     kind: str | None = None
@@ -42,34 +42,34 @@
     workspace: str | None = None
     since: float = 0.0
     until: float = math.inf
-    limit: int = AUDIT_LIMIT
+    limit: int = DEFAULT_LIMIT
 
-    def matches(self, note):
-        """Return whether a note, as a dictionary, fits."""
-        for field in FIELDS:
-            if getattr(self, field) not in (None, note[field]):
+    def matches(self, event):
+        """Return whether an audit event, as a dictionary, passes the filter."""
+        for field in FILTER_FIELDS:
+            if getattr(self, field) not in (None, event[field]):
                 return False
-        return self.since <= note["at"] <= self.until
+        return self.since <= event["at"] <= self.until
 
 
-def collect_notes(configuration, shards, query):
-    """Return the notes that fit as dictionaries, oldest first.
+def find_audit_events(configuration, shards, query):
+    """Return the matching audit events as dictionaries, oldest first.
 
     Args:
         configuration: A
             `pimentowick.configuration.state_machine.ConfigurationStateMachine`.
-        shards: The `pimentowick.batch.shard.Shard` to look at.
+        shards: The `pimentowick.batch.shard.Shard` objects to search.
         query: The `Query`.
     """
-    notes = [_describe_change(entry) for entry in configuration.audit]
+    notes = [_make_change_event(entry) for entry in configuration.audit]
     for shard in shards:
         for note in shard.ledger.notes:
             notes.append({"stream": shard.stream, **dataclasses.asdict(note)})
-    fitting = [note for note in notes if query.matches(note)]
-    return _sort(fitting)[-query.limit :]
+    matching = [event for event in notes if query.matches(event)]
+    return _sort_events(matching)[-query.limit :]
 
 
-def _describe_change(entry):
+def _make_change_event(entry):
     workspace = entry.name if entry.kind == "workspace" else ""
     return {
         "stream": configuration_state_machine.STREAM,
@@ -78,74 +78,74 @@
     }
 
 
-def _sort(notes):
-    # Offsets order the notes of one stream; between streams there is only the time
-    # that each record states.
-    return sorted(notes, key=lambda note: (note["at"], note["stream"], note["offset"]))
+def _sort_events(events):
+    # Offsets order the events of one stream. Events of different streams can only be
+    # ordered by the timestamps in their records.
+    return sorted(events, key=lambda each: (each["at"], each["stream"], each["offset"]))
 
 
 class _QueryHandler:
-    """Reads a `Query` from the request."""
+    """Mixin that parses a `Query` from the request."""
 
     def read_query(self, **fixed):
-        """Return the `Query` of the request.
+        """Parse the `Query` of the request; `fixed` overrides its fields.
 
         Raises:
             RefusedError: A parameter is malformed.
         """
-        fields = {name: self.get_query_argument(name, None) for name in FIELDS}
+        fields = {name: self.get_query_argument(name, None) for name in FILTER_FIELDS}
         try:
             fields["since"] = float(self.get_query_argument("since", "0"))
             fields["until"] = float(self.get_query_argument("until", "inf"))
-            limit = int(self.get_query_argument("limit", str(AUDIT_LIMIT)))
+            limit = int(self.get_query_argument("limit", str(DEFAULT_LIMIT)))
         except ValueError as error:
             raise http_web.refuse_input(
                 "since and until are epoch seconds, limit is a whole number."
             ) from error
-        if not 1 <= limit <= MAX_AUDIT_LIMIT:
-            raise http_web.refuse_input(f"limit is from 1 to {MAX_AUDIT_LIMIT}.")
+        if not 1 <= limit <= MAX_LIMIT:
+            raise http_web.refuse_input(f"limit is from 1 to {MAX_LIMIT}.")
         return Query(**{**fields, "limit": limit, **fixed})
 
 
 class AuditHandler(_QueryHandler, handler.OperatorHandler):
-    """``GET /v1/admin/audit``: the trail of the whole fleet."""
+    """``GET /v1/admin/audit``: the audit trail of the whole fleet."""
 
     async def get(self):
-        """Answer with the newest notes that fit the query."""
+        """Respond with the newest events that match the query."""
         query = self.read_query()
-        await _answer(self, query, "/v1/admin/audit")
+        await _write_events(self, query, "/v1/admin/audit")
 
 
 class CallerAuditHandler(_QueryHandler, handler.CallerHandler):
-    """``GET /v1/audit``: the part of the trail that is about the caller's own."""
+    """``GET /v1/audit``: the audit trail of the caller's workspace."""
 
     async def get(self):
-        """Answer with the newest notes that fit the query."""
+        """Respond with the newest events that match the query."""
         query = self.read_query(workspace=self.workspace.name)
-        await _answer(self, query, "/v1/audit")
+        await _write_events(self, query, "/v1/audit")
 
 
-async def _answer(handler, query, path):
-    # Each other entry decides by itself what the asker's token may see.
+async def _write_events(handler, query, path):
+    # Every queried entry authorizes the caller's token itself.
     entry = handler.entry
     followed = entry.table.followed
-    notes = collect_notes(entry.configuration, followed.values(), query)
+    events = find_audit_events(entry.configuration, followed.values(), query)
     missing = set(range(entry.settings.shards)) - set(followed)
     if missing and handler.get_query_argument("local", None) is None:
-        for other in await handler.ask_entries(_make_path(path, query)):
+        for other in await handler.query_entries(_make_local_path(path, query)):
             missing -= set(other["shards"])
-            notes += other["audit"]
-    unique = {(note["stream"], note["offset"]): note for note in notes}
+            events += other["audit"]
+    unique = {(event["stream"], event["offset"]): event for event in events}
     handler.write_json(
         {
-            "audit": _sort(unique.values())[-query.limit :],
+            "audit": _sort_events(unique.values())[-query.limit :],
             "shards": sorted(followed),
             "missing_shards": sorted(missing),
         }
     )
 
 
-def _make_path(path, query):
+def _make_local_path(path, query):
     fields = {
         name: value
         for name, value in dataclasses.asdict(query).items()
--- a/pimentowick/entry/configuration.py
+++ b/pimentowick/entry/configuration.py
@@ -1,4 +1,4 @@
-"""What operators publish, amend and look up."""
+"""HTTP handlers of configuration documents and of the status of the fleet."""
 
 import asyncio
 import time
@@ -18,9 +18,9 @@
     "describe_entry",
 ]
 
-IN_FORCE_POLL_S = 0.1
-IN_FORCE_TIMEOUT_S = 5.0
-PEER_TIMEOUT_S = 1.0
+VERSION_POLL_S = 0.1
+VERSION_TIMEOUT_S = 5.0
+REPORT_TIMEOUT_S = 1.0
 
 
 class _Change(pydantic.BaseModel):
@@ -32,10 +32,10 @@
 
 
 class DocumentHandler(handler.OperatorHandler):
-    """``/v1/admin/{kind}/{name}``: look up, publish or amend a document."""
+    """``/v1/admin/{kind}/{name}``: read, publish or amend a document."""
 
     def get(self, kind, name):
-        """Answer with the document in force."""
+        """Respond with the current version of the document."""
         found = self.entry.configuration.get_document(kind, name)
         if found is None:
             raise http_web.refuse_input(f"There is no {kind} {name!r}.", "unknown", 404)
@@ -51,22 +51,24 @@
         )
 
     async def put(self, kind, name):
-        """Publish a change, and answer what became of it."""
-        asked = handler.validate(_Change, self.read_json())
+        """Publish a change and respond with its outcome."""
+        requested = handler.validate(_Change, self.read_json())
         record = change.make_change(
             kind,
             name,
-            asked.amends,
+            requested.amends,
             self.operator.name,
-            asked.body,
+            requested.body,
             time.time(),
-            self.get_client(),
+            self.get_client_address(),
+        )
+        outcome = await self._append(record)
+        if not outcome.accepted:
+            raise exception.RefusedError(_make_rejection(outcome))
+        answer = {"version": outcome.version_after}
+        answer.update(
+            await self.entry.count_in_force(outcome.version_after, requested.wait)
         )
-        note = await self._append(record)
-        if not note.accepted:
-            raise exception.RefusedError(_explain_note(note))
-        answer = {"version": note.version_after}
-        answer.update(await self.entry.count_in_force(note.version_after, asked.wait))
         self.write_json(answer)
 
     async def _append(self, record):
@@ -88,33 +90,33 @@
             ) from error
 
 
-def _explain_note(note):
-    if note.reason.startswith("conflict"):
+def _make_rejection(outcome):
+    if outcome.reason.startswith("conflict"):
         return verdict.Refusal(
             409,
             "conflict",
-            f"{note.reason}. Amend the version in force.",
+            f"{outcome.reason}. Amend the version in force.",
             retry_after=0,
         )
-    return verdict.Refusal(400, "rejected", f"{note.reason}. Mend the change.")
+    return verdict.Refusal(400, "rejected", f"{outcome.reason}. Mend the change.")
 
 
 class VersionHandler(handler.PeerHandler):
-    """``GET /peer/version``: the version in force at this entry, and its state."""
+    """``GET /peer/version``: configuration version and state of this entry."""
 
     def get(self):
-        """Answer with the version."""
+        """Respond with the configuration version and state."""
         self.write_json(describe_entry(self.entry))
 
 
 class StatusHandler(handler.OperatorHandler):
-    """``GET /v1/admin/status``: the fleet as this entry sees it."""
+    """``GET /v1/admin/status``: the status of the fleet as seen by this entry."""
 
     async def get(self):
-        """Answer with agents, shards, and what each entry says of itself."""
+        """Respond with agents, shards and the status reported by each entry."""
         status = self.entry.describe()
         hosts = list(self.entry.fleet.entries.values())
-        reports = await asyncio.gather(*(_read_report(self.entry, h) for h in hosts))
+        reports = await asyncio.gather(*(_fetch_report(self.entry, h) for h in hosts))
         for host, report in zip(hosts, reports, strict=True):
             if host.name in status["entries"]:
                 status["entries"][host.name].update(report)
@@ -122,10 +124,10 @@
 
 
 def describe_entry(entry):
-    """Return the version in force at an entry, its state, and how old its copy is.
+    """Return an entry's configuration version, its state and its replication lag.
 
-    `lag_s` is the age of the last read that reached the head of the configuration
-    stream, in seconds; None before the first.
+    `lag_s` is the time in seconds since the entry last read up to the end of the
+    configuration stream; None before the first time.
     """
     fresh_at = entry.configuration_replica.fresh_at
     lag_s = None if fresh_at is None else round(time.monotonic() - fresh_at, 3)
@@ -136,13 +138,13 @@
     }
 
 
-async def _read_report(entry, host):
-    """Return what an entry says of itself; only a state if it does not answer."""
+async def _fetch_report(entry, host):
+    """Return the report of an entry; its state is "silent" if it does not respond."""
     if host.name == entry.settings.name:
         return describe_entry(entry)
     try:
         answer = await entry.client.fetch(
-            "GET", host.address, "/peer/version", timeout_s=PEER_TIMEOUT_S
+            "GET", host.address, "/peer/version", timeout_s=REPORT_TIMEOUT_S
         )
         return answer.decode()
     except exception.PimentowickError:
@@ -150,23 +152,23 @@
 
 
 async def count_in_force(entry, version, wait):
-    """Return at how many entries a version is in force.
+    """Return the number of entries that have applied a configuration version.
 
     Args:
         entry: `pimentowick.entry.daemon.Entry`.
         version: The version.
-        wait: Whether to wait until it is in force at all of them, for a while.
+        wait: Whether to wait up to `VERSION_TIMEOUT_S` for all entries.
     """
-    deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
+    deadline = time.monotonic() + VERSION_TIMEOUT_S
     while True:
         hosts = list(entry.fleet.entries.values())
         checks = [_has_version(entry, host, version) for host in hosts]
         count = sum(await asyncio.gather(*checks))
         if not wait or count == len(hosts) or time.monotonic() >= deadline:
             return {"in_force": count, "of": len(hosts)}
-        await asyncio.sleep(IN_FORCE_POLL_S)
+        await asyncio.sleep(VERSION_POLL_S)
 
 
 async def _has_version(entry, host, version):
-    report = await _read_report(entry, host)
+    report = await _fetch_report(entry, host)
     return report["version"] is not None and report["version"] >= version
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry: takes what callers and operators ask, and owns shards of batch jobs."""
+"""The entry daemon: serves callers and operators, and owns shards of batch jobs."""
 
 import asyncio
 import secrets
@@ -44,7 +44,7 @@
 DRAINING = "draining"
 STOPPING = "stopping"
 CONTROL_CONNECTIONS = 64
-# One long read for each shard that may be followed, and the appends.
+# One long poll per followed shard, and the appends.
 PLATFORM_CONNECTIONS = 256
 
 
@@ -55,11 +55,11 @@
         settings: `pimentowick.settings.EntrySettings`.
 
     Attributes:
-        owner: Name of this process as an owner: the host's, and what tells this
-            process from earlier ones there.
-        state: ``starting``, ``ready``, ``draining`` while readiness fails but
-            requests are still taken, then ``stopping``.
-        stop_orders: `pimentowick.daemon.StopOrders` that end the process.
+        owner: Unique owner id of this process: the host's name and a random suffix that
+            differs between restarts.
+        state: ``starting``, ``ready``, ``draining`` while the readiness check fails but
+            requests are still accepted, or ``stopping``.
+        stop_orders: The `pimentowick.daemon.StopOrders` of the process.
         configuration: The
             `pimentowick.configuration.state_machine.ConfigurationStateMachine`.
     """
@@ -71,7 +71,7 @@
         self.stop_orders = process_daemon.StopOrders()
         self.metrics = process_metrics.EntryMetrics()
         self.limits = limits.ConcurrencyLimits(settings.max_online)
-        # One pool for each class of traffic: none waits for another one's sockets.
+        # Separate connection pools, so that no class of traffic blocks another.
         peers = tls.make_client_tls(settings.tls)
         self.client = http_client.Client(CONTROL_CONNECTIONS, peers)
         self._online_client = http_client.Client(settings.max_online, peers)
@@ -79,8 +79,8 @@
         self._platform_client = http_client.Client(
             PLATFORM_CONNECTIONS, tls.make_client_tls(settings.platform.tls)
         )
-        # What is passed on to other entries may take long; heartbeats and appends
-        # must not wait for it.
+        # Requests forwarded to other entries may be slow; they must not block
+        # heartbeats and appends.
         self.forward_client = http_client.Client(settings.max_online, peers)
         log, hosts = self._make_platform()
         self.configuration = configuration_state_machine.ConfigurationStateMachine()
@@ -128,7 +128,7 @@
 
     @property
     def address(self):
-        """``IP:port`` that the entry listens on."""
+        """``IP:port`` on which the entry listens."""
         return self._server.address
 
     def _make_platform(self):
@@ -197,7 +197,7 @@
                     shared,
                 ),
                 ("/peer/version", configuration.VersionHandler, shared),
-                ("/peer/configuration", peer.DumpHandler, shared),
+                ("/peer/configuration", peer.SnapshotHandler, shared),
                 ("/peer/stop-job", job.StopHandler, shared),
                 ("/health", HealthHandler, shared),
                 ("/ready", ReadyHandler, shared),
@@ -208,7 +208,7 @@
         )
 
     async def start(self):
-        """Listen, and begin to follow the platform."""
+        """Start all components, then listen."""
         for part in self._list_clients():
             await part.start()
         await self.configuration_replica.start()
@@ -236,16 +236,18 @@
         )
 
     async def drain(self):
-        """Fail readiness, finish what runs, and hand the shards over."""
-        logger.info("entry: Draining. {} requests run.", self._server.count_busy())
+        """Fail the readiness check, finish running requests and release the shards."""
+        logger.info(
+            "entry: Draining with {} running requests.", self._server.count_busy()
+        )
         self.state = DRAINING
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.settings.drain_s
-        # The balancer goes on sending until it has seen that readiness fails.
+        # The balancer sends requests until it notices the failed readiness check.
         await asyncio.sleep(self.settings.lame_duck_s)
-        # From here on no new connection is taken, and requests on those that are
-        # open are refused as not run: callers that go on sending would otherwise
-        # hold the process up to the bound, and then be cut.
+        # New connections are no longer accepted, and new requests on open connections
+        # are rejected as not run. Otherwise callers that keep sending would delay the
+        # shutdown until the drain timeout and then be disconnected.
         self.state = STOPPING
         self._server.stop_listening()
         await self.dispatcher.drain(max(0.0, deadline - loop.time()))
@@ -254,10 +256,10 @@
         cut = await self._server.drain(max(0.0, deadline - loop.time()))
         await self.calls.drain(max(0.0, deadline - loop.time()))
         if cut:
-            logger.warning("entry: {} requests are cut.", cut)
+            logger.warning("entry: {} requests were aborted at the drain timeout.", cut)
 
     async def close(self):
-        """Stop listening and drop all connections."""
+        """Stop listening and close all components."""
         await self._server.close()
         for part in (
             self.bootstrap,
@@ -278,24 +280,24 @@
 
     @property
     def is_stopping(self):
-        """Whether requests that come now are refused."""
+        """Whether new requests are rejected."""
         return self.state == STOPPING
 
     @property
     def is_ready(self):
-        """Whether callers should be sent here."""
+        """Whether the balancer should send callers to this entry."""
         return self.state == READY and self.configuration_replica.ready
 
     def get_weight(self, workspace):
-        """Return the share of a workspace, by its name."""
+        """Return the fair-share weight of a workspace by its name."""
         found = self.configuration.workspaces.get(workspace)
         return 1.0 if found is None else found.weight
 
     def find_operator(self, token):
-        """Return the operator that a token names, or None.
+        """Return the operator that a token authenticates, or None.
 
-        Operators stand in the settings, so that there is one before there is any
-        configuration, and in the configuration.
+        Operators are defined in the configuration, and in the settings for access
+        before the first configuration is published.
         """
         found = tokens.check_token(token, self._operators)
         return found or self.configuration.find_operator_by_token(token)
@@ -305,28 +307,27 @@
         await self.dispatcher.stop_job(job_id)
 
     async def publish(self, record):
-        """Append a change of the configuration and return what became of it.
+        """Append a configuration change and return its audit entry.
 
         Raises:
-            LogError: The change was not appended, or that is not known.
+            LogError: The append failed, or its outcome is unknown.
         """
-        follower = self.configuration_replica
-        if follower.offset == 0:
-            # The first record of the stream can't be a version; see
-            # docs/CONFIGURATION.md.
-            await follower.append(
+        stream_replica = self.configuration_replica
+        if stream_replica.offset == 0:
+            # Offset 0 cannot be a version; see docs/CONFIGURATION.md.
+            await stream_replica.append(
                 [{"type": configuration_state_machine.OPENING_TYPE}],
                 self.settings.append_s,
             )
-        await follower.append([record], self.settings.append_s)
+        await stream_replica.append([record], self.settings.append_s)
         return self.configuration.find_audit_entry(record["id"])
 
     async def count_in_force(self, version, wait):
-        """Return at how many entries a version is in force."""
+        """Return the number of entries that have applied a configuration version."""
         return await configuration.count_in_force(self, version, wait)
 
     def describe(self):
-        """Return what operators see of the fleet through this entry."""
+        """Return the status of the fleet as seen by this entry."""
         return {
             "entry": self.settings.name,
             "state": self.state,
@@ -358,21 +359,21 @@
 
 
 class HealthHandler(http_web.JsonHandler):
-    """Liveness: the loop turns."""
+    """Liveness check; succeeds while the event loop runs."""
 
     def initialize(self, entry):
-        """Take the entry."""
+        """Set the entry."""
         self.entry = entry
 
     def get(self):
-        """Answer that the process lives."""
+        """Respond with the state of the entry."""
         self.write_json({"state": self.entry.state})
 
 
 class ReadyHandler(HealthHandler):
-    """Readiness: the balancer may send callers here."""
+    """Readiness check for the balancer."""
 
     def get(self):
-        """Answer 200 while callers are welcome, 503 otherwise."""
+        """Respond 200 if the entry is ready for callers, 503 otherwise."""
         status = 200 if self.entry.is_ready else 503
         self.write_json({"state": self.entry.state}, status)
--- a/pimentowick/entry/handler.py
+++ b/pimentowick/entry/handler.py
@@ -1,4 +1,4 @@
-"""What the handlers of callers and operators have in common."""
+"""Base classes and helpers of the HTTP handlers."""
 
 import asyncio
 import secrets
@@ -21,15 +21,15 @@
     "validate",
 ]
 
-# An online body is parsed and encoded in one turn of the loop each, here and at the
-# agent, where it grows by escapes: six times at worst, which an agent still takes.
+# Parsing and encoding a body blocks the event loop, here and at the agent. JSON escapes
+# may enlarge it up to six times, which is within the agent's limit.
 MAX_ONLINE_BYTES = 8_388_608
 
-FORWARDED = "X-Pimentowick-Forwarded"
-CLIENT = "X-Forwarded-For"
+FORWARDED_BY = "X-Pimentowick-Forwarded"
+FORWARDED_FOR = "X-Forwarded-For"
 FORWARD_TIMEOUT_S = 60.0
-ASK_TIMEOUT_S = 3.0
-FORWARD_HEADERS = (
+PEER_QUERY_TIMEOUT_S = 3.0
+FORWARDED_HEADERS = (
     "Accept",
     "Authorization",
     "Content-Type",
@@ -39,28 +39,28 @@
 
 
 class EntryHandler(http_web.JsonHandler):
-    """Knows the entry, and gives every request an id."""
+    """Base of all handlers of the entry; assigns an id to every request."""
 
     def initialize(self, entry):
-        """Take the entry."""
+        """Set the entry, and the id of the request."""
         self.entry = entry
         self.request_id = "req_" + secrets.token_hex(12)
         self.set_default_headers()
 
     def set_default_headers(self):
-        """Name the request in the answer; tornado asks again for refusals."""
+        """Set the id of the request; tornado calls this again for error responses."""
         if self.request_id is None:
             return
         self.set_header("X-Request-Id", self.request_id)
         if self.entry.state != "ready":
-            # The caller's next request goes by a new connection to another entry.
+            # Makes the caller reconnect, which takes its next request to another entry.
             self.set_header("Connection", "close")
 
-    # Tornado asks for the headers once before `initialize`, too.
+    # Tornado first calls `set_default_headers` before `initialize`.
     request_id = None
 
     def describe_refusal(self, refusal):
-        """Return the body that states a refusal, with the request it is about."""
+        """Return the response body of a refusal, with the id of the request."""
         data = refusal.to_dict()
         data["error"]["request_id"] = self.request_id
         return data
@@ -70,25 +70,24 @@
         scheme, _, text = self.request.headers.get("Authorization", "").partition(" ")
         return text.strip() if scheme.lower() == "bearer" else None
 
-    def get_client(self):
-        """Return the address that the request came from.
+    def get_client_address(self):
+        """Return the address of the client that sent the request.
 
-        The header X-Forwarded-For counts only if it comes from the platform's
-        balancer or from another entry: anybody else could put into the audit trail
-        what he likes.
+        The header X-Forwarded-For is trusted only from the platform's balancer and from
+        other entries; any other client could forge addresses in the audit trail.
         """
         address = self.request.remote_ip
-        text = self.request.headers.get(CLIENT, "").rpartition(",")[2].strip()
-        return text if text and self._is_proxy(address) else address
+        text = self.request.headers.get(FORWARDED_FOR, "").rpartition(",")[2].strip()
+        return text if text and self._is_trusted_proxy(address) else address
 
-    def _is_proxy(self, address):
+    def _is_trusted_proxy(self, address):
         return address in self.entry.settings.trusted_proxies or self.is_peer()
 
     def is_peer(self):
-        """Return whether a process of the system asks, as far as that is checked.
+        """Return whether the request comes from another process of the system.
 
-        Without encryption only the address tells: a caller elsewhere must not read
-        what all workspaces have, and a caller on an entry host could.
+        With TLS, a client certificate is required. Without TLS, only the address is
+        checked, so any process on an entry host passes.
         """
         if self.entry.settings.tls is not None:
             return bool(self.request.get_ssl_certificate())
@@ -96,35 +95,40 @@
         known = {host.address.rpartition(":")[0] for host in hosts}
         return self.request.remote_ip in known
 
-    async def ask_entries(self, path):
-        """Ask all other entries the same, with the token of this request.
+    async def query_entries(self, path):
+        """Send a GET request to all other entries with the token of this request.
 
         Returns:
-            The decoded answers of those that answered 200.
+            The decoded bodies of the responses with status 200.
         """
         name = self.entry.settings.name
         hosts = [
             host for host in self.entry.fleet.entries.values() if host.name != name
         ]
-        answers = await asyncio.gather(*(self._ask_entry(host, path) for host in hosts))
+        answers = await asyncio.gather(
+            *(self._query_entry(host, path) for host in hosts)
+        )
         return [answer for answer in answers if answer is not None]
 
-    async def _ask_entry(self, host, path):
+    async def _query_entry(self, host, path):
         headers = {"Authorization": self.request.headers.get("Authorization", "")}
         try:
             answer = await self.entry.client.fetch(
-                "GET", host.address, path, headers=headers, timeout_s=ASK_TIMEOUT_S
+                "GET",
+                host.address,
+                path,
+                headers=headers,
+                timeout_s=PEER_QUERY_TIMEOUT_S,
             )
             return answer.decode() if answer.status == 200 else None
         except exception.PimentowickError:
             return None
 
     def check_ready(self):
-        """Refuse while no configuration is known, and when stopping.
+        """Check that this entry has a configuration and is not stopping.
 
         Raises:
-            RefusedError: This entry has not read the configuration yet, or takes
-                no request any more.
+            RefusedError: This entry has not read the configuration yet, or is stopping.
         """
         if self.entry.is_stopping:
             raise exception.RefusedError(
@@ -147,10 +151,10 @@
 
 
 class PeerHandler(EntryHandler):
-    """Handles requests of other processes of the system."""
+    """Base of the handlers for other processes of the system."""
 
     def prepare(self):
-        """Refuse whoever shows no certificate of the authority."""
+        """Reject requests of other clients; see `is_peer`."""
         if not self.is_peer():
             raise exception.RefusedError(
                 verdict.Refusal(
@@ -160,56 +164,56 @@
 
 
 class CallerHandler(EntryHandler):
-    """Handles requests of a workspace.
+    """Base of the handlers for callers of a workspace.
 
     Attributes:
         workspace: `pimentowick.configuration.workspace.Workspace` of the caller.
     """
 
     def prepare(self):
-        """Find the workspace that the token names."""
+        """Authenticate the caller and set its workspace."""
         self.check_ready()
         configuration = self.entry.configuration
         self.workspace = configuration.find_workspace_by_token(self.get_token())
         if self.workspace is None:
-            raise exception.RefusedError(_refuse_token())
+            raise exception.RefusedError(_make_token_refusal())
         if self.workspace.stopped:
             raise exception.RefusedError(
                 verdict.Refusal(403, "stopped", "This workspace is stopped.")
             )
 
     def get_caller(self):
-        """Return the workspace and the public part of the caller's token."""
+        """Return the workspace's name and the id of the caller's token."""
         token_id = self.get_token().partition(tokens.SEPARATOR)[0]
         return f"{self.workspace.name}/{token_id}"
 
 
 class OperatorHandler(EntryHandler):
-    """Handles requests of operators.
+    """Base of the handlers for operators.
 
     Attributes:
         operator: `pimentowick.configuration.tokens.StoredToken` of the operator.
     """
 
     def prepare(self):
-        """Find the operator that the token names."""
+        """Authenticate the operator."""
         self.check_ready()
         self.operator = self.entry.find_operator(self.get_token())
         if self.operator is None:
-            raise exception.RefusedError(_refuse_token())
+            raise exception.RefusedError(_make_token_refusal())
 
 
-def _refuse_token():
+def _make_token_refusal():
     return verdict.Refusal(
         401, "wrong_token", "The bearer token is missing or wrong. Check it."
     )
 
 
 def check_online_size(body):
-    """Refuse the body of an online request that would delay all others.
+    """Check the size of an online request's body, since parsing it blocks the loop.
 
     Raises:
-        RefusedError: It is larger than `MAX_ONLINE_BYTES`.
+        RefusedError: The body is larger than `MAX_ONLINE_BYTES`.
     """
     if len(body) > MAX_ONLINE_BYTES:
         raise http_web.refuse_input(
@@ -220,19 +224,19 @@
 
 
 async def forward(handler, number, timeout_s=FORWARD_TIMEOUT_S):
-    """Pass a request on to an entry that follows a shard, and its answer back.
+    """Forward a request to an entry that follows a shard, and return its response.
 
     Args:
         handler: Handler of the request.
         number: Number of the shard.
-        timeout_s: Seconds until the request has to be answered.
+        timeout_s: Timeout of the request in seconds.
 
     Raises:
-        RefusedError: No such entry answered.
+        RefusedError: No entry that follows the shard responded.
     """
     entry = handler.entry
-    if FORWARDED in handler.request.headers:
-        raise exception.RefusedError(_refuse_moving())
+    if FORWARDED_BY in handler.request.headers:
+        raise exception.RefusedError(_make_shard_refusal())
     for name in entry.table.list_followers(number):
         host = entry.fleet.entries.get(name)
         if host is None or name == entry.settings.name:
@@ -251,21 +255,21 @@
                 handler.set_header(field, value)
         handler.finish(answer.body)
         return
-    raise exception.RefusedError(_refuse_moving())
+    raise exception.RefusedError(_make_shard_refusal())
 
 
 async def _send(handler, host, timeout_s):
     request = handler.request
     headers = {
         name: request.headers[name]
-        for name in FORWARD_HEADERS
+        for name in FORWARDED_HEADERS
         if name in request.headers
     }
     for name in request.headers:
         if name.lower().startswith("x-idempotent"):
             headers[name] = request.headers[name]
-    headers[FORWARDED] = handler.entry.settings.name
-    headers[CLIENT] = handler.get_client()
+    headers[FORWARDED_BY] = handler.entry.settings.name
+    headers[FORWARDED_FOR] = handler.get_client_address()
     body = request.body if request.method in ("POST", "PUT", "PATCH") else None
     return await handler.entry.forward_client.fetch(
         request.method,
@@ -278,7 +282,7 @@
     )
 
 
-def _refuse_moving():
+def _make_shard_refusal():
     return verdict.Refusal(
         503,
         "moving",
@@ -288,14 +292,14 @@
 
 
 def validate(model, data):
-    """Return `data` checked by a pydantic model.
+    """Validate `data` against a pydantic model and return the instance.
 
     Raises:
-        RefusedError: It does not fit; the message names the first fault.
+        RefusedError: The data is invalid; the message describes the first error.
     """
     try:
         return model.model_validate(data)
     except pydantic.ValidationError as error:
-        fault = error.errors()[0]
-        place = ".".join(str(part) for part in fault["loc"])
-        raise http_web.refuse_input(f"{place}: {fault['msg']}.") from error
+        details = error.errors()[0]
+        path = ".".join(str(part) for part in details["loc"])
+        raise http_web.refuse_input(f"{path}: {details['msg']}.") from error
--- a/pimentowick/entry/job.py
+++ b/pimentowick/entry/job.py
@@ -1,4 +1,4 @@
-"""Batch jobs: submit, look, read results, cancel."""
+"""HTTP handlers that submit, read and cancel batch jobs."""
 
 import asyncio
 import time
@@ -24,15 +24,15 @@
 ]
 
 STOP_TIMEOUT_S = 2.0
-# Beside lease and freshness: what the clocks of two processes may differ in rate.
-STOP_MARGIN_S = 0.5
+# Allowance for clock drift between two processes.
+CLOCK_MARGIN_S = 0.5
 
 
 class _ShardHandler(handler.CallerHandler):
-    """Finds the shard and the job that a request is about."""
+    """Base of the handlers of one job; finds its shard."""
 
     async def find_shard(self, job_id):
-        """Return the shard of a job; None if the request was forwarded."""
+        """Return the shard of a job, or None after forwarding the request."""
         shard = self.entry.table.find(job_id)
         if shard is not None and shard.replica.ready:
             return shard
@@ -41,11 +41,11 @@
         return None
 
     def get_job(self, shard, job_id):
-        """Return the job of the caller's workspace.
+        """Return a job of the caller's workspace.
 
         Raises:
-            RefusedError: There is none; whether another workspace has one of that
-                id is not told.
+            RefusedError: The job does not exist or belongs to another workspace; the
+                response is the same in both cases.
         """
         job = shard.ledger.jobs.get(job_id)
         if job is None or job.workspace != self.workspace.name:
@@ -59,7 +59,7 @@
     """``POST /v1/batches``: submit a job."""
 
     async def post(self):
-        """Take a job in, and answer once it is safe in the log."""
+        """Accept a job; respond once it is durable in the log."""
         key = self.request.headers.get("Idempotency-Key")
         if not key:
             raise http_web.refuse_input(
@@ -75,7 +75,7 @@
         job = shard.ledger.jobs.get(job_id)
         if job is None:
             self._check_open_jobs()
-            await self._append(shard, job_id, key, submission, deadline)
+            await self._append_submission(shard, job_id, key, submission, deadline)
             job = self._get_accepted(shard, job_id)
         if job.digest != submission.digest:
             raise exception.RefusedError(
@@ -87,7 +87,7 @@
             )
         self.write_json(describe_job(job), 202)
 
-    async def _append(self, shard, job_id, key, submission, deadline):
+    async def _append_submission(self, shard, job_id, key, submission, deadline):
         try:
             await intake.append_submission(
                 shard,
@@ -100,17 +100,17 @@
                 at=time.time(),
             )
         except exception.LogFullError as error:
-            raise _refuse_log(error, verdict.Verdict.NOT_RUN) from error
+            raise _make_log_refusal(error, verdict.Verdict.NOT_RUN) from error
         except exception.LogError as error:
-            raise _refuse_log(error, verdict.Verdict.MAY_HAVE_RUN) from error
+            raise _make_log_refusal(error, verdict.Verdict.MAY_HAVE_RUN) from error
 
     def _get_accepted(self, shard, job_id):
-        # The ledger forgets the oldest submissions without a job. One that was so
-        # slow that it lost its chunks has no effect, which the caller has to know.
+        # The ledger evicts the oldest incomplete submissions. If the chunks of a slow
+        # submission were evicted, the job does not exist and the caller must resubmit.
         job = shard.ledger.jobs.get(job_id)
         if job is None:
             error = exception.LogUnavailableError("The submission was dropped.")
-            raise _refuse_log(error, verdict.Verdict.NOT_RUN)
+            raise _make_log_refusal(error, verdict.Verdict.NOT_RUN)
         return job
 
     def _read_deadline(self):
@@ -142,31 +142,31 @@
             )
 
 
-def _refuse_log(error, found):
+def _make_log_refusal(error, outcome):
     return exception.RefusedError(
         verdict.Refusal(
             503,
             "log_unavailable",
             f"{error} Send the same request again.",
-            found,
+            outcome,
             retry_after=2.0,
         )
     )
 
 
 class JobHandler(_ShardHandler):
-    """``GET /v1/batches/{id}``: how a job is."""
+    """``GET /v1/batches/{id}``: the status of a job."""
 
     async def get(self, job_id):
-        """Answer with the job's state and counts."""
+        """Respond with the job's status and request counts."""
         shard = await self.find_shard(job_id)
         if shard is not None:
             self.write_json(describe_job(self.get_job(shard, job_id)))
 
 
 def describe_job(job):
-    """Return what callers are told about a job."""
-    late = job.deadline is not None and time.time() > job.deadline
+    """Return the representation of a job in responses."""
+    is_late = job.deadline is not None and time.time() > job.deadline
     return {
         "id": job.id,
         "object": "batch",
@@ -176,7 +176,7 @@
         "model": job.model,
         "submitted_at": job.at,
         "deadline": job.deadline,
-        "late": late and job.state == "open",
+        "late": is_late and job.state == "open",
         "request_counts": {
             "total": job.items,
             "completed": job.succeeded,
@@ -187,48 +187,50 @@
 
 
 class ResultsHandler(_ShardHandler):
-    """``GET /v1/batches/{id}/results``: the results so far, as JSON lines."""
+    """``GET /v1/batches/{id}/results``: the available results as JSON lines."""
 
     async def get(self, job_id):
-        """Answer with a line for each item that has ended."""
+        """Respond with one line for each finished item."""
         shard = await self.find_shard(job_id)
         if shard is None:
             return
         job = self.get_job(shard, job_id)
         self.set_header("Content-Type", "application/jsonl")
-        wanted = {ref for ref in job.refs if ref is not None}
+        refs = {ref for ref in job.refs if ref is not None}
         try:
-            for ref in sorted(wanted, key=shard.ledger.results.get):
+            for ref in sorted(refs, key=shard.ledger.results.get):
                 await self._write_results(shard, job, ref)
         except exception.LogError as error:
             if self._headers_written:
-                # Cut off, so that the caller sees that lines are missing.
-                logger.warning("results: {} broke off. {}", job.id, error)
+                # Closing the connection tells the caller that the response is cut off.
+                logger.warning(
+                    "results: Response for job {} was aborted. {}", job.id, error
+                )
                 self.request.connection.close()
                 return
-            raise _refuse_log(error, verdict.Verdict.NOT_RUN) from error
+            raise _make_log_refusal(error, verdict.Verdict.NOT_RUN) from error
         self.finish()
 
     async def _write_results(self, shard, job, ref):
         record = await self._read_record(shard, ref)
         if record is None:
-            self._write_lost(job, ref)
+            self._write_lost_results(job, ref)
             return
         written = set()
         for job_id, item, _, body in record["results"]:
             if job_id != job.id or job.refs[item] != ref:
                 continue
-            # The first one counts, also within a record.
+            # If a record holds several results of an item, the first one is valid.
             if item not in written:
                 written.add(item)
                 self.write(orjson.dumps(body) + b"\n")
         await self.flush()
 
     async def _read_record(self, shard, ref):
-        """Return the record with some results, or None if the log dropped it."""
+        """Return a record of results, or None if the log has deleted it."""
         offset = None
         while offset != shard.ledger.results[ref]:
-            # It may be appended again further on while this reads.
+            # The record may be appended again at a later offset during the read.
             offset = shard.ledger.results[ref]
             page = await shard.read_one(offset)
             if page.records and page.records[0][0] == offset:
@@ -237,9 +239,9 @@
             raise exception.LogUnavailableError("The log gave no results.")
         return None
 
-    def _write_lost(self, job, ref):
-        # The other results are still good; a caller has to know which ones are not.
-        logger.error("results: Results of {} are gone from the log.", job.id)
+    def _write_lost_results(self, job, ref):
+        # Reports the lost results per item, since the other results are still valid.
+        logger.error("results: Results of job {} were deleted from the log.", job.id)
         refusal = verdict.Refusal(
             410,
             "result_lost",
@@ -262,62 +264,64 @@
     """``POST /v1/batches/{id}/cancel``: stop a job."""
 
     async def post(self, job_id):
-        """Cancel, and answer once no item can start or complete any more."""
+        """Cancel the job; respond once no item can start or complete any more."""
         shard = await self.find_shard(job_id)
         if shard is None:
             return
         job = self.get_job(shard, job_id)
         if job.state == "open":
-            await self._cancel(shard, job)
+            await self._append_cancellation(shard, job)
             job = self.get_job(shard, job_id)
         if job.state == "cancelled":
-            # Also when another request cancelled it: that one may still wait for
-            # the owner, or may have failed while it did.
+            # Also if another request cancelled the job: it may still be waiting for the
+            # owner, or may have failed meanwhile.
             await self._wait_until_stopped(shard, job)
         self.write_json(describe_job(job))
 
-    async def _cancel(self, shard, job):
+    async def _append_cancellation(self, shard, job):
         cancelled = batch_record.make_cancelled(
-            job.id, self.get_caller(), time.time(), self.get_client()
+            job.id, self.get_caller(), time.time(), self.get_client_address()
         )
         try:
             await shard.replica.append([cancelled], self.entry.settings.append_s)
         except exception.LogError as error:
-            # Agents are not told before: they would refuse the items of a job that
-            # stays open if the record never comes into the log.
-            raise _refuse_log(error, verdict.Verdict.MAY_HAVE_RUN) from error
+            # Agents are notified only after the append: they would otherwise reject the
+            # items of a job that stays open if the record is never written.
+            raise _make_log_refusal(error, verdict.Verdict.MAY_HAVE_RUN) from error
 
     async def _wait_until_stopped(self, shard, job):
-        """Return once the owner has stopped, or can't dispatch any more."""
-        if await self._ask_owner(shard, job):
+        """Return once the owner has stopped the job or can no longer dispatch items."""
+        if await self._stop_at_owner(shard, job):
             return
-        await self._order_agents(job)
-        # An owner that does not answer has either read the cancellation or can't
-        # renew a lease later than FRESH_S after it. The last heartbeat may be on
-        # its way for as long as it may take; then the lease lapses.
+        await self._stop_at_agents(job)
+        # An owner that does not respond has either read the cancellation or stops
+        # renewing leases after FRESH_S without reading the log. Its last renewal may
+        # be in flight for up to the heartbeat timeout; then the lease has to expire.
         renewed_s = dispatch.FRESH_S + membership_fleet.HEARTBEAT_TIMEOUT_S
-        await asyncio.sleep(renewed_s + self._get_longest_lease() + STOP_MARGIN_S)
+        await asyncio.sleep(renewed_s + self._get_max_lease_s() + CLOCK_MARGIN_S)
 
-    async def _order_agents(self, job):
-        # The owner in force may not be the one whose items still run. Agents that
-        # take the order refuse the job whoever sends it.
+    async def _stop_at_agents(self, job):
+        # Items of a previous owner may still run. Agents that have confirmed the order
+        # reject items of the job from any owner.
         try:
             await self.entry.stop_job(job.id)
         except exception.UnavailableError as error:
-            logger.warning("cancel: {} is not stopped everywhere. {}", job.id, error)
+            logger.warning(
+                "cancel: Not all agents confirmed the stop of job {}. {}", job.id, error
+            )
 
-    def _get_longest_lease(self):
+    def _get_max_lease_s(self):
         leases = [
             peer.report.get("lease_s") for peer in self.entry.fleet.peers.values()
         ]
         known = [lease for lease in leases if lease is not None]
         if leases and not known:
-            # An entry that just started: how long leases hold is not known.
+            # This entry has just started and does not know the lease duration yet.
             error = exception.LogUnavailableError("No agent is known yet.")
-            raise _refuse_log(error, verdict.Verdict.MAY_HAVE_RUN)
+            raise _make_log_refusal(error, verdict.Verdict.MAY_HAVE_RUN)
         return max(known, default=0.0)
 
-    async def _ask_owner(self, shard, job):
+    async def _stop_at_owner(self, shard, job):
         owner = shard.ledger.owner
         if owner is None or owner == self.entry.owner:
             try:
@@ -343,18 +347,18 @@
 
 
 class StopHandler(handler.PeerHandler):
-    """``POST /peer/stop-job``: another entry cancelled a job that runs here."""
+    """``POST /peer/stop-job``: another entry cancelled a job that this entry owns."""
 
     async def post(self):
-        """Answer 200 once this process has stopped the job and knows why."""
+        """Respond 200 once this entry has read the cancellation and stopped the job."""
         data = self.read_json()
         shard = self.entry.table.find(data["job"])
         if shard is None or data["owner"] != self.entry.owner:
             self.write_json({"stopped": False}, 409)
             return
         try:
-            # Its copy may be behind: without the cancellation in it, the next turn
-            # of the dispatcher would take the job up again.
+            # If this replica has not applied the cancellation yet, the next cycle of
+            # the dispatcher would resume the job.
             await shard.replica.catch_up(STOP_TIMEOUT_S / 2)
             await self.entry.stop_job(data["job"])
         except (exception.LogError, exception.UnavailableError):
--- a/pimentowick/entry/metered.py
+++ b/pimentowick/entry/metered.py
@@ -1,4 +1,4 @@
-"""A log that counts its appends and reads."""
+"""A log client that records metrics of its appends and reads."""
 
 import time
 
@@ -9,11 +9,11 @@
 
 
 class MeteredLog(external_log.Log):
-    """Passes everything on, and tells `pimentowick.metrics.EntryMetrics` of it.
+    """Delegates to another log client and records metrics.
 
     Args:
-        log: The `pimentowick.external.log.Log` to use.
-        metrics: The `EntryMetrics`.
+        log: The `pimentowick.external.log.Log` to delegate to.
+        metrics: The `pimentowick.metrics.EntryMetrics`.
     """
 
     def __init__(self, log, metrics):
@@ -22,8 +22,8 @@
 
     async def append(self, stream, records):
         """Append records; see the base class."""
-        began = time.monotonic()
-        # A cancelled append may have landed, like one without an answer.
+        started_at = time.monotonic()
+        # A cancelled append may have taken effect, like one that timed out.
         outcome = "unknown"
         try:
             first = await self._log.append(stream, records)
@@ -36,7 +36,7 @@
             outcome = "too_large"
             raise
         finally:
-            self._metrics.count_append(outcome, time.monotonic() - began)
+            self._metrics.count_append(outcome, time.monotonic() - started_at)
 
     async def read(self, stream, offset, **fields):
         """Read records; see the base class."""
--- a/pimentowick/entry/online.py
+++ b/pimentowick/entry/online.py
@@ -1,4 +1,4 @@
-"""Online completions, in the form that OpenAI's clients know."""
+"""HTTP handlers of online completions, compatible with OpenAI's API."""
 
 import asyncio
 import time
@@ -19,11 +19,12 @@
 
 
 def read_deadline(request, limit_s):
-    """Return the seconds until a request has to be answered.
+    """Return the seconds left until the deadline of a request.
 
     Args:
-        request: The HTTP request; its header X-Deadline may name epoch seconds.
-        limit_s: Seconds that the configuration allows.
+        request: The HTTP request; its header X-Deadline may set a deadline in epoch
+            seconds.
+        limit_s: Maximum set by the configuration, in seconds.
 
     Raises:
         RefusedError: The deadline is malformed or has passed.
@@ -32,60 +33,60 @@
     if text is None:
         return limit_s
     try:
-        left = float(text) - time.time()
+        remaining_s = float(text) - time.time()
     except ValueError as error:
         raise http_web.refuse_input("X-Deadline must be epoch seconds.") from error
-    if not left > 0:
+    if not remaining_s > 0:
         raise http_web.refuse_input("X-Deadline has passed.", "deadline_passed")
-    return min(left, limit_s)
+    return min(remaining_s, limit_s)
 
 
 class _CompletionHandler(handler.CallerHandler):
-    """Runs one generation and writes its answer."""
+    """Base of the completion handlers; runs a generation and writes the response."""
 
     async def post(self):
-        """Answer a completion, whole or as a stream of events."""
+        """Respond with a completion, as one body or as a stream of events."""
         try:
-            await self._answer()
+            await self._respond()
         except exception.RefusedError as error:
             self.entry.metrics.count_request(error.refusal.code)
-            self._refuse(error.refusal)
+            self._write_error(error.refusal)
         except iostream.StreamClosedError:
             self.entry.metrics.count_request("caller_gone")
         else:
             self.entry.metrics.count_request("answered")
 
     def on_connection_close(self):
-        """Stop generating for a caller that has gone."""
-        if self._answering is not None:
-            self._answering.cancel()
+        """Cancel the generation when the caller disconnects."""
+        if self._response_task is not None:
+            self._response_task.cancel()
 
-    _answering = None
+    _response_task = None
 
-    async def _answer(self):
+    async def _respond(self):
         handler.check_online_size(self.request.body)
         data = self.read_json()
         generation = completion.parse_generation(data, self.workspace)
-        use = self.workspace.models[generation["model"]]
-        deadline_s = read_deadline(self.request, use.deadline_s)
+        policy = self.workspace.models[generation["model"]]
+        deadline_s = read_deadline(self.request, policy.deadline_s)
         request = router.make_generate_request(
             self.request_id, self.workspace, generation, deadline_s
         )
-        write = self._write_stream if data.get("stream") else self._write_whole
+        write = self._write_stream if data.get("stream") else self._write_body
         with self.entry.limits.acquire(self.workspace):
-            self._answering = asyncio.ensure_future(write(request, generation))
+            self._response_task = asyncio.ensure_future(write(request, generation))
             try:
-                # The router keeps to the deadline, but a caller that reads nothing
-                # more would hold the writing, and a place, for ever.
+                # The router enforces the deadline, but a caller that stops reading may
+                # block the write, and hold a concurrency slot, indefinitely.
                 async with asyncio.timeout(deadline_s + DEADLINE_MARGIN_S):
-                    await self._answering
+                    await self._response_task
             except TimeoutError as error:
                 expired = verdict.make_expired(verdict.Verdict.MAY_HAVE_RUN)
                 raise exception.RefusedError(expired) from error
             except asyncio.CancelledError:
                 raise iostream.StreamClosedError from None
 
-    async def _write_whole(self, request, generation):
+    async def _write_body(self, request, generation):
         texts = []
         end = None
         async for event in self.entry.router.generate(request):
@@ -93,7 +94,7 @@
                 texts.extend(event.texts)
             else:
                 end = event
-        _check_whole(end, len(texts))
+        _check_complete(end, len(texts))
         body = self.make_body(
             self.request_id, generation, "".join(texts), end.finish_reason, end.tokens
         )
@@ -106,42 +107,42 @@
         async for event in self.entry.router.generate(request):
             if isinstance(event, external_engine.Tokens):
                 count += len(event.texts)
-                # Tokens that arrived together go on as one event and one write.
+                # Tokens that arrive together are sent as one event in one write.
                 chunk = self.make_chunk(
                     self.request_id, generation, "".join(event.texts)
                 )
-                self.write(_make_event(chunk))
+                self.write(_encode_event(chunk))
                 await self.flush()
                 continue
-            _check_whole(event, count)
+            _check_complete(event, count)
             last = self.make_chunk(self.request_id, generation, "", event.finish_reason)
-            self.write(_make_event(last))
+            self.write(_encode_event(last))
         self.finish(END_MARK)
 
-    def _refuse(self, refusal):
+    def _write_error(self, refusal):
         if not self._headers_written:
             self.clear_header("Cache-Control")
             self.write_refusal(refusal)
             return
         stream = self.request.connection.stream
         if stream.writing():
-            # The caller has stopped reading; an event would wait there, too.
+            # The caller has stopped reading, so that an error event would block, too.
             stream.close()
             return
-        # Part of the answer is with the caller. The event says so, and the missing
-        # end mark keeps a client from taking it for whole.
-        self.finish(_make_event(self.describe_refusal(refusal)))
+        # Part of the response has been sent. The error event and the missing end mark
+        # show the client that the response is incomplete.
+        self.finish(_encode_event(self.describe_refusal(refusal)))
 
 
-def _make_event(data):
+def _encode_event(data):
     return b"data: " + orjson.dumps(data) + b"\n\n"
 
 
-def _check_whole(end, count):
-    """Refuse to hand over an answer that lacks tokens or its end.
+def _check_complete(end, count):
+    """Check that all tokens and the end of a generation have been received.
 
     Raises:
-        RefusedError: The answer is not whole.
+        RefusedError: The generation is incomplete.
     """
     if end is not None and end.tokens == count and end.finish_reason != "cancelled":
         return
@@ -171,10 +172,10 @@
 
 
 class ModelsHandler(handler.CallerHandler):
-    """``GET /v1/models``: what the workspace may use."""
+    """``GET /v1/models``: the models that the workspace may use."""
 
     def get(self):
-        """List the models."""
+        """Respond with the list of models."""
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": "pimentowick"}
             for name in sorted(self.workspace.models)
--- a/pimentowick/entry/order.py
+++ b/pimentowick/entry/order.py
@@ -1,7 +1,7 @@
-"""Orders of operators: drain a host, cancel a job of any workspace.
+"""HTTP handlers of operators' orders: drain a host, cancel a job of any workspace.
 
-A drained host takes no new work, finishes what runs and ends its process, as after
-SIGTERM. Whether it starts again is up to the platform that runs the process.
+A drained host accepts no new work, completes its running work and exits, as after
+SIGTERM. The platform that runs the process decides whether to restart it.
 """
 
 import time
@@ -30,28 +30,28 @@
     """``POST /v1/admin/drain``: drain an entry, an agent or a target."""
 
     async def post(self):
-        """Answer 202 once the order is in the log and its host has it."""
-        asked = handler.validate(_Order, self.read_json())
-        host = self._find_host(asked.host)
+        """Respond 202 once the order is in the log and the host has accepted it."""
+        requested = handler.validate(_Order, self.read_json())
+        host = self._find_host(requested.host)
         if host.role == "entry" and host.name != self.entry.settings.name:
-            # That entry checks the operator's token and records the order itself.
-            await self._pass_on(host, "/v1/admin/drain", {"host": host.name})
+            # The other entry authorizes the operator and logs the order itself.
+            await self._send_order(host, "/v1/admin/drain", {"host": host.name})
         else:
-            await self._record(host.name)
-            await self._carry_out(host)
+            await self._append_order(host.name)
+            await self._execute_order(host)
         self.write_json({"host": host.name, "state": "draining"}, 202)
 
-    async def _carry_out(self, host):
+    async def _execute_order(self, host):
         if host.role == "entry":
             self.entry.stop_orders.drain()
         else:
-            await self._pass_on(host, "/drain", {})
+            await self._send_order(host, "/drain", {})
 
     def _find_host(self, name):
-        """Return the host that is called `name`, or whose target is.
+        """Return the host named `name`, or the host of the target named `name`.
 
         Raises:
-            RefusedError: There is none.
+            RefusedError: There is no such host or target.
         """
         fleet = self.entry.fleet
         if name in fleet.entries:
@@ -64,10 +64,9 @@
             f"There is no host or target {name!r}. There are: {known}.", "unknown", 404
         )
 
-    async def _record(self, name):
-        # The record comes first: an order that was carried out and then lost from
-        # the trail couldn't be accounted for. While the log is down, SIGTERM on the
-        # host does the same without it.
+    async def _append_order(self, name):
+        # Orders are logged before they are executed, so that the audit trail misses
+        # none. While the log is down, the host can be drained by SIGTERM instead.
         record = change.make_change(
             document.ORDER,
             name,
@@ -75,10 +74,10 @@
             self.operator.name,
             {"action": DRAIN},
             time.time(),
-            self.get_client(),
+            self.get_client_address(),
         )
         try:
-            note = await self.entry.publish(record)
+            outcome = await self.entry.publish(record)
         except exception.LogError as error:
             raise exception.RefusedError(
                 verdict.Refusal(
@@ -89,13 +88,13 @@
                     retry_after=2.0,
                 )
             ) from error
-        if not note.accepted:
-            raise http_web.refuse_input(f"{note.reason}.", "rejected")
+        if not outcome.accepted:
+            raise http_web.refuse_input(f"{outcome.reason}.", "rejected")
 
-    async def _pass_on(self, host, path, message):
+    async def _send_order(self, host, path, message):
         headers = {
             "Authorization": self.request.headers["Authorization"],
-            handler.CLIENT: self.get_client(),
+            handler.FORWARDED_FOR: self.get_client_address(),
         }
         try:
             answer = await self.entry.client.fetch(
@@ -132,7 +131,7 @@
     """``POST /v1/admin/batches/{id}/cancel``: stop a job of any workspace."""
 
     def prepare(self):
-        """Find the operator that the token names."""
+        """Authenticate the operator."""
         handler.OperatorHandler.prepare(self)
 
     def get_caller(self):
@@ -140,10 +139,10 @@
         return self.operator.name
 
     def get_job(self, shard, job_id):
-        """Return the job, whatever its workspace.
+        """Return a job of any workspace.
 
         Raises:
-            RefusedError: There is none.
+            RefusedError: The job does not exist.
         """
         found = shard.ledger.jobs.get(job_id)
         if found is None:
--- a/pimentowick/entry/peer.py
+++ b/pimentowick/entry/peer.py
@@ -1,4 +1,4 @@
-"""The configuration of another entry, for one that starts while the log is down."""
+"""Bootstraps the configuration from other entries while the log is unavailable."""
 
 import asyncio
 
@@ -7,17 +7,17 @@
 from pimentowick import exception, supervisor
 from pimentowick.entry import handler
 
-__all__ = ["Bootstrap", "DumpHandler"]
+__all__ = ["Bootstrap", "SnapshotHandler"]
 
-CHECK_S = 0.5
-DUMP_TIMEOUT_S = 3.0
+POLL_INTERVAL_S = 0.5
+SNAPSHOT_TIMEOUT_S = 3.0
 
 
-class DumpHandler(handler.PeerHandler):
-    """``GET /peer/configuration``: the whole configuration as known here."""
+class SnapshotHandler(handler.PeerHandler):
+    """``GET /peer/configuration``: a snapshot of the configuration of this entry."""
 
     def get(self):
-        """Answer with the state and the offset up to which it holds."""
+        """Respond with a snapshot and the offset up to which it covers the log."""
         self.check_ready()
         follower = self.entry.configuration_replica
         dump = {"covers": follower.offset, "parts": follower.fold.dump()}
@@ -25,11 +25,11 @@
 
 
 class Bootstrap:
-    """Takes the newest configuration of other entries while the log gives none.
+    """Loads the newest snapshot of other entries until the log can be read.
 
-    An entry without any configuration can't serve. What a live entry has in force is
-    a prefix of the log, and the log grows no further while it is down; an older one
-    than what is known here is never taken.
+    An entry without a configuration cannot serve requests. The state of any live entry
+    is a prefix of the log, so it is safe to start from. A snapshot that is older than
+    the local state is never installed.
 
     Args:
         replica: `pimentowick.replication.replica.Replica` of the configuration.
@@ -46,37 +46,39 @@
         self._supervisor = supervisor.Supervisor("bootstrap")
 
     async def start(self):
-        """Begin to ask."""
+        """Start polling the other entries."""
         await self._supervisor.start()
-        self._supervisor.start_child("ask", self._ask_always)
+        self._supervisor.start_child("ask", self._poll)
 
     async def close(self):
-        """Stop asking."""
+        """Stop polling."""
         await self._supervisor.close()
 
-    async def _ask_always(self):
+    async def _poll(self):
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._replica.ready:
-                await self._ask_all()
+                await self._install_newest()
 
-    async def _ask_all(self):
+    async def _install_newest(self):
         others = [h for name, h in self._fleet.entries.items() if name != self._name]
-        found = await asyncio.gather(*map(self._fetch, others))
-        dumps = [dump for dump in found if dump is not None]
-        if not dumps or self._replica.ready:
+        fetched = await asyncio.gather(*map(self._fetch_snapshot, others))
+        snapshots = [snapshot for snapshot in fetched if snapshot is not None]
+        if not snapshots or self._replica.ready:
             return
-        newest = max(dumps, key=lambda dump: dump["covers"])
+        newest = max(snapshots, key=lambda snapshot: snapshot["covers"])
         if self._replica.adopt(newest["covers"], newest["parts"]):
             self._replica.ready = True
-            logger.info("bootstrap: Took the configuration of another entry.")
+            logger.info("bootstrap: Installed the configuration of another entry.")
 
-    async def _fetch(self, host):
+    async def _fetch_snapshot(self, host):
         try:
             answer = await self._client.fetch(
-                "GET", host.address, "/peer/configuration", timeout_s=DUMP_TIMEOUT_S
+                "GET", host.address, "/peer/configuration", timeout_s=SNAPSHOT_TIMEOUT_S
+            )
+            snapshot = answer.decode()
+            return (
+                snapshot if answer.status == 200 and snapshot["covers"] >= 0 else None
             )
-            dump = answer.decode()
-            return dump if answer.status == 200 and dump["covers"] >= 0 else None
         except (exception.PimentowickError, KeyError, TypeError):
             return None
--- a/pimentowick/entry/service.py
+++ b/pimentowick/entry/service.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""HTTP handler of calls to services."""
 
 import asyncio
 import hashlib
@@ -13,17 +13,17 @@
 __all__ = ["ServiceHandler"]
 
 IDEMPOTENT_METHODS = frozenset(["GET", "HEAD", "OPTIONS"])
-PASSED_HEADERS = ("Content-Type", "Accept")
-# "/v1/services/{service}/{path}" split at its first four slashes.
-SERVICE_PATH_PART = 4
+FORWARDED_HEADERS = ("Content-Type", "Accept")
+# Number of slashes in "/v1/services/{service}/{path}" before the path.
+PREFIX_SLASHES = 4
 
 
 class ServiceHandler(handler.CallerHandler):
     """``/v1/services/{service}/{path}``, with any method."""
 
-    async def _answer(self, service, path):
+    async def _respond(self, service, path):
         try:
-            await self._run(service, path)
+            await self._forward(service, path)
         except exception.RefusedError as error:
             self.entry.metrics.count_request(error.refusal.code)
             self.write_refusal(error.refusal)
@@ -33,36 +33,37 @@
             self.entry.metrics.count_request("answered")
 
     def on_connection_close(self):
-        """Stop an idempotent call for a caller that has gone.
+        """Cancel an idempotent call when the caller disconnects.
 
-        Another one goes on: whether it ran must be recorded for whoever asks again.
+        A call with an idempotency key continues, since its outcome has to be recorded
+        for retries.
         """
-        if self._calling is not None:
-            self._calling.cancel()
+        if self._call_task is not None:
+            self._call_task.cancel()
 
-    _calling = None
+    _call_task = None
 
-    get = post = put = patch = delete = _answer
+    get = post = put = patch = delete = _respond
 
-    async def _run(self, service, path):
+    async def _forward(self, service, path):
         handler.check_online_size(self.request.body)
-        use = self.workspace.services.get(service)
-        if use is None:
-            raise _refuse_unknown(service, self.workspace)
-        deadline_s = online.read_deadline(self.request, use.deadline_s)
-        idempotent = self._is_idempotent(use)
+        policy = self.workspace.services.get(service)
+        if policy is None:
+            raise _make_unknown_refusal(service, self.workspace)
+        deadline_s = online.read_deadline(self.request, policy.deadline_s)
+        idempotent = self._is_idempotent(policy)
         key = self.request.headers.get("Idempotency-Key")
         request = self._make_request(service, idempotent, key, deadline_s)
         if idempotent or key is None:
             with self.entry.limits.acquire_call(self.workspace, service):
                 call = asyncio.ensure_future(self.entry.router.call(request))
                 if idempotent:
-                    self._calling = call
+                    self._call_task = call
                 self._write_answer(await call)
             return
-        await self._run_once(service, key, request, deadline_s)
+        await self._forward_once(service, key, request, deadline_s)
 
-    async def _run_once(self, service, key, request, deadline_s):
+    async def _forward_once(self, service, key, request, deadline_s):
         call_id = batch_record.make_call_id(self.workspace.name, service, key)
         shard = self.entry.table.find(call_id)
         if shard is None:
@@ -71,16 +72,16 @@
             return
         with self.entry.limits.acquire_call(self.workspace, service):
             digest = self._make_digest()
-            known = await self.entry.calls.claim(
+            recorded_answer = await self.entry.calls.claim(
                 shard, call_id, request.id, digest, deadline_s
             )
-            if known is not None:
+            if recorded_answer is not None:
                 self.set_header("Idempotent-Replayed", "true")
-                self._write_answer(known)
+                self._write_answer(recorded_answer)
                 return
-            await self._run_claimed(shard, call_id, request)
+            await self._forward_claimed(shard, call_id, request)
 
-    async def _run_claimed(self, shard, call_id, request):
+    async def _forward_claimed(self, shard, call_id, request):
         found = verdict.Verdict.MAY_HAVE_RUN
         answer = None
         try:
@@ -90,16 +91,16 @@
             found = error.refusal.verdict
             raise
         finally:
-            # The caller has its answer at once; the log has the end a moment later.
-            # Whoever asks in between hears that the call is in progress.
+            # The caller gets the response before the outcome is in the log. Until then,
+            # a retry with the same key is told that the call is in progress.
             self.entry.calls.settle(shard, call_id, request.id, found, answer)
         self._write_answer(answer)
 
-    def _is_idempotent(self, use):
+    def _is_idempotent(self, policy):
         text = self.request.headers.get("X-Idempotent")
         if text is not None:
             return text.lower() == "true"
-        return use.idempotent or self.request.method in IDEMPOTENT_METHODS
+        return policy.idempotent or self.request.method in IDEMPOTENT_METHODS
 
     def _make_digest(self):
         hashed = hashlib.sha256()
@@ -112,7 +113,7 @@
         query = f"?{self.request.query}" if self.request.query else ""
         headers = {
             name: self.request.headers[name]
-            for name in PASSED_HEADERS
+            for name in FORWARDED_HEADERS
             if name in self.request.headers
         }
         call = {
@@ -135,9 +136,9 @@
         )
 
     def _get_raw_path(self):
-        # As the caller wrote it: with the escapes undone, a path could hold what no
-        # request line may, fail at every target, and eject each of them.
-        return "/" + self.request.path.split("/", SERVICE_PATH_PART)[-1]
+        # Not decoded: a decoded path may contain characters that are invalid in a
+        # request line. The request would fail at every target and eject them all.
+        return "/" + self.request.path.split("/", PREFIX_SLASHES)[-1]
 
     def _write_answer(self, answer):
         self.set_status(answer["status"])
@@ -146,7 +147,7 @@
         self.finish(answer["body"].encode("latin-1"))
 
 
-def _refuse_unknown(service, workspace):
+def _make_unknown_refusal(service, workspace):
     names = ", ".join(sorted(workspace.services)) or "none"
     return exception.RefusedError(
         verdict.Refusal(
--- a/pimentowick/entry/watch.py
+++ b/pimentowick/entry/watch.py
@@ -1,8 +1,8 @@
-"""Tells the log of the process what became of each change of the configuration.
+"""Logs the outcome of each configuration change.
 
-Anybody with access to the platform's log may append to the configuration stream. A
-record that is malformed or came too late is skipped by every reader; without a line
-about it an operator would look for the fault in the fleet.
+Anyone with access to the platform's log can append to the configuration stream. A
+malformed or conflicting record has no effect on any entry; the log line tells operators
+why.
 """
 
 from loguru import logger
@@ -13,7 +13,7 @@
 
 
 class ConfigurationWatch:
-    """Writes a line for each change that is read after the first ones.
+    """Logs each configuration change that is applied after startup.
 
     Args:
         replica: `pimentowick.replication.replica.Replica` of the configuration.
@@ -25,7 +25,7 @@
         self._supervisor = supervisor.Supervisor("configuration")
 
     async def start(self):
-        """Begin to watch."""
+        """Start watching the configuration."""
         await self._supervisor.start()
         self._supervisor.start_child("watch", self._watch)
 
@@ -37,42 +37,42 @@
         replica = self._replica
         while True:
             if replica.ready:
-                self._tell()
+                self._log_changes()
             async with replica.applied:
                 await replica.applied.wait()
 
-    def _tell(self):
+    def _log_changes(self):
         configuration = self._replica.fold
         if self._next_offset is None:
             version = configuration.version
             logger.info("configuration: Version {} is in force.", version)
         else:
-            for note in self._list_new(configuration):
-                _tell_note(note)
+            for audit_entry in self._list_new_entries(configuration):
+                _log_change(audit_entry)
         self._next_offset = self._replica.offset
 
-    def _list_new(self, configuration):
-        found = []
-        for note in reversed(configuration.audit):
-            if note.offset < self._next_offset:
+    def _list_new_entries(self, configuration):
+        new_entries = []
+        for audit_entry in reversed(configuration.audit):
+            if audit_entry.offset < self._next_offset:
                 break
-            found.append(note)
-        return reversed(found)
+            new_entries.append(audit_entry)
+        return reversed(new_entries)
 
 
-def _tell_note(note):
-    what = f"{note.kind} {note.name}".strip() or "a record"
-    if note.accepted:
+def _log_change(audit_entry):
+    subject = f"{audit_entry.kind} {audit_entry.name}".strip() or "a record"
+    if audit_entry.accepted:
         logger.info(
             "configuration: Version {} is in force: {} by {}.",
-            note.version_after,
-            what,
-            note.by,
+            audit_entry.version_after,
+            subject,
+            audit_entry.by,
         )
         return
     logger.warning(
         "configuration: {} at offset {} has no effect. {}",
-        what,
-        note.offset,
-        note.reason,
+        subject,
+        audit_entry.offset,
+        audit_entry.reason,
     )
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -364,7 +364,7 @@
 def _read_integer(response, name):
     value = response.decode().get(name)
     if not isinstance(value, int):
-        raise UnknownOutcomeError(f"The store's response has no integer {name!r}.")
+        raise UnknownOutcomeError(f"The store's response has no integer {name}.")
     return value
 
 
