--- a/pimentowick/configuration/state_machine.py
+++ b/pimentowick/configuration/state_machine.py
@@ -112,8 +112,8 @@
 
     def list_documents_since(self, version):
         """Return the current documents newer than `version`, oldest first."""
-        found = [item for item in self._documents.values() if item.version > version]
-        return sorted(found, key=lambda item: item.version)
+        newer = [item for item in self._documents.values() if item.version > version]
+        return sorted(newer, key=lambda item: item.version)
 
     def dump(self):
         """Return the state as a list of JSON-serializable parts; see the base class."""
--- a/pimentowick/entry/configuration.py
+++ b/pimentowick/entry/configuration.py
@@ -36,17 +36,17 @@
 
     def get(self, kind, name):
         """Respond with the current version of the document."""
-        found = self.entry.configuration.get_document(kind, name)
-        if found is None:
+        document = self.entry.configuration.get_document(kind, name)
+        if document is None:
             raise http_web.refuse_input(f"There is no {kind} {name!r}.", "unknown", 404)
         self.write_json(
             {
                 "kind": kind,
                 "name": name,
-                "version": found.version,
-                "by": found.by,
-                "at": found.at,
-                "body": found.body,
+                "version": document.version,
+                "by": document.by,
+                "at": document.at,
+                "body": document.body,
             }
         )
 
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -290,8 +290,8 @@
 
     def get_weight(self, workspace):
         """Return the fair-share weight of a workspace by its name."""
-        found = self.configuration.workspaces.get(workspace)
-        return 1.0 if found is None else found.weight
+        found_workspace = self.configuration.workspaces.get(workspace)
+        return 1.0 if found_workspace is None else found_workspace.weight
 
     def find_operator(self, token):
         """Return the operator that a token authenticates, or None.
@@ -299,8 +299,8 @@
         Operators are defined in the configuration, and in the settings for access
         before the first configuration is published.
         """
-        found = tokens.check_token(token, self._operators)
-        return found or self.configuration.find_operator_by_token(token)
+        operator = tokens.check_token(token, self._operators)
+        return operator or self.configuration.find_operator_by_token(token)
 
     async def stop_job(self, job_id):
         """Stop a cancelled job; see `pimentowick.batch.dispatch.Dispatcher`."""
--- a/pimentowick/entry/order.py
+++ b/pimentowick/entry/order.py
@@ -144,7 +144,7 @@
         Raises:
             RefusedError: The job does not exist.
         """
-        found = shard.ledger.jobs.get(job_id)
-        if found is None:
+        batch_job = shard.ledger.jobs.get(job_id)
+        if batch_job is None:
             raise http_web.refuse_input("There is no such job.", "unknown_job", 404)
-        return found
+        return batch_job
--- a/pimentowick/entry/tests/durability.py
+++ b/pimentowick/entry/tests/durability.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of batch jobs and configuration under failure."""
+"""Helpers for tests of batch jobs and configuration under failures."""
 
 import asyncio
 import collections
@@ -8,18 +8,18 @@
 from pimentowick.fakes import embedded, engine
 
 __all__ = [
-    "Tap",
+    "LogInterceptor",
     "check_results",
     "claim",
     "find_owner",
     "get_runs",
+    "intercept_logs",
     "run",
-    "tap_entries",
 ]
 
 
 def run(check, **settings):
-    """Run a coroutine function with an embedded deployment."""
+    """Run the coroutine function `check` with an embedded deployment."""
 
     async def run_check():
         fleet = embedded.Embedded(**settings)
@@ -32,13 +32,13 @@
     asyncio.run(run_check())
 
 
-class Tap:
-    """Stands between one entry and the log.
+class LogInterceptor:
+    """Intercepts the calls of one entry to the log.
 
     Attributes:
-        rule: Coroutine function that appends to a shard instead, or None.
-        reads: Set while reads pass.
-        types: Number of records appended, by type.
+        rule: Coroutine function that replaces appends to shards, or None.
+        reads: Event that is set while reads are let through.
+        counts_by_type: Number of records appended, by type.
     """
 
     def __init__(self, entry):
@@ -46,14 +46,14 @@
         self.rule = None
         self.reads = asyncio.Event()
         self.reads.set()
-        self.types = collections.Counter()
+        self.counts_by_type = collections.Counter()
         self._append = self.log.append
         self._read = self.log.read
         self.log.append = self.append
         self.log.read = self.read
 
     async def append(self, stream, records):
-        self.types.update(record["type"] for record in records)
+        self.counts_by_type.update(record["type"] for record in records)
         if self.rule is not None and stream.startswith("shard-"):
             return await self.rule(stream, records)
         return await self._append(stream, records)
@@ -63,15 +63,18 @@
         await self.reads.wait()
         return page
 
-    def fail_at(self, kind, number, effect, then):
-        """Lose the answer of the `number`-th append of a type, and run `then`."""
-        seen = []
+    def fail_append(self, kind, number, effect, then):
+        """Fail the `number`-th append of a record type after running `then`.
+
+        The append takes effect if `effect` is true; only its response is lost then.
+        """
+        attempts = []
 
         async def rule(stream, records):
             if records[0]["type"] != kind:
                 return await self._append(stream, records)
-            seen.append(1)
-            if len(seen) != number:
+            attempts.append(1)
+            if len(attempts) != number:
                 return await self._append(stream, records)
             if effect:
                 await self._append(stream, records)
@@ -80,14 +83,14 @@
 
         self.rule = rule
 
-    def hold(self, kind):
-        """Hold appends of a type back before the log.
+    def delay_appends(self, kind):
+        """Delay appends of a record type.
 
         Returns:
-            The list of records that are held, the event that lets them go, and the
-            list of offsets at which they landed then.
+            The list of delayed records, the event that releases them, and the list of
+            offsets at which they are then appended.
         """
-        held, release, landed = [], asyncio.Event(), []
+        held, release, offsets = [], asyncio.Event(), []
 
         async def rule(stream, records):
             if records[0]["type"] != kind:
@@ -95,24 +98,24 @@
             held.extend(records)
             await release.wait()
             first = await self._append(stream, records)
-            landed.append(first)
+            offsets.append(first)
             return first
 
         self.rule = rule
-        return held, release, landed
+        return held, release, offsets
 
 
 async def claim(fleet, name, job_id):
-    """Let an entry claim the shard of a job, and return once it owns it."""
+    """Make an entry claim the shard of a job; return once it owns the shard."""
     entry = fleet.entries[name]
     shard = entry.table.find(job_id)
     record = batch_record.make_claim(shard.ledger.epoch + 1, entry.owner, 0.0)
     await shard.replica.append([record], 5)
 
 
-def tap_entries(fleet):
-    """Return a `Tap` of each entry by name; reads that begin later are held."""
-    return {name: Tap(entry) for name, entry in fleet.entries.items()}
+def intercept_logs(fleet):
+    """Return a `LogInterceptor` for each entry by name."""
+    return {name: LogInterceptor(entry) for name, entry in fleet.entries.items()}
 
 
 def find_owner(fleet, job_id):
@@ -124,7 +127,7 @@
 
 
 def get_runs(fleet, job_id):
-    """Return how often each item of a job began at an engine."""
+    """Return the number of runs of each item of a job, over all engines."""
     runs = collections.Counter()
     for target in fleet.targets.values():
         runs.update({n: c for n, c in target.runs.items() if n.startswith(job_id)})
@@ -132,7 +135,7 @@
 
 
 async def check_results(fleet, job_id, count, tokens=4, entry=None, prefix="item"):
-    """Wait for a job and check that each item has its own result, once."""
+    """Wait for a job and check that each item has exactly one, correct result."""
     await fleet.wait_for_job(job_id, entry=entry)
     results = await fleet.read_results(job_id, entry=entry)
     names = sorted(result["custom_id"] for result in results)
--- a/pimentowick/entry/tests/test_completion.py
+++ b/pimentowick/entry/tests/test_completion.py
@@ -1,4 +1,4 @@
-"""Each accepted item completes once, whatever fails meanwhile."""
+"""Each accepted item completes exactly once under failures."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 async def submit_until_accepted(fleet, lines, key, **fields):
-    """Resend as a client does that got no answer, and return the job's id."""
+    """Retry a submission until it is accepted; return the job's id."""
 
     async def is_accepted():
         try:
@@ -33,30 +33,28 @@
 
 @pytest.mark.parametrize("effect", [False, True], ids=["before", "after"])
 def test_entry_dies_at_an_append_of_a_submission(effect):
-    """An entry dies just before or after it writes a part of a job, and the client
-    sends the job again elsewhere.
-
-    The user would find items missing, or the job twice.
+    """An entry crashes just before or after it appends a part of a submission, and the
+    client resubmits to another entry. No item may be missing and no job duplicated.
     """
 
     async def check(fleet):
         points = [("chunk", 1), ("chunk", 2), ("submitted", 1)]
         for index, (kind, number) in enumerate(points):
             name = f"victim-{index}"
-            tap = durability.Tap(await fleet.add_entry(name))
+            interceptor = durability.LogInterceptor(await fleet.add_entry(name))
             await fleet.wait_for(fleet.is_ready)
-            gone = []
+            crashes = []
 
-            async def die(name=name, gone=gone):
-                gone.append(asyncio.create_task(fleet.crash(name)))
+            async def crash(name=name, crashes=crashes):
+                crashes.append(asyncio.create_task(fleet.crash(name)))
 
-            tap.fail_at(kind, number, effect, die)
+            interceptor.fail_append(kind, number, effect, crash)
             lines = embedded.make_job_lines(250)
             key = f"key-{index}"
             with contextlib.suppress(exception.UnavailableError):
                 await fleet.submit(lines, key, entry=name)
-            await fleet.wait_for(lambda gone=gone: gone)
-            await gone[0]
+            await fleet.wait_for(lambda crashes=crashes: crashes)
+            await crashes[0]
             await fleet.unlist_host(name)
             job_id = await submit_until_accepted(fleet, lines, key)
             await durability.check_results(fleet, job_id, 250)
@@ -67,48 +65,48 @@
 
 
 @pytest.mark.parametrize("effect", [False, True], ids=["before", "after"])
-def test_owner_dies_between_the_end_of_items_and_their_record(effect):
-    """Items have ended at the engine and the owner dies as it writes that down.
-
-    They run again. The user would otherwise miss their results, or find two of them.
+def test_owner_dies_before_recording_results(effect):
+    """The owner crashes just before or after it appends the results of finished items.
+    The items have to run again, with exactly one result each.
     """
 
     async def check(fleet):
         job_id = await submit_until_accepted(fleet, embedded.make_job_lines(60), "k")
         owner = await fleet.wait_for(lambda: durability.find_owner(fleet, job_id))
-        gone = []
+        crashes = []
 
-        async def die():
-            gone.append(asyncio.create_task(fleet.crash(owner)))
+        async def crash():
+            crashes.append(asyncio.create_task(fleet.crash(owner)))
 
-        durability.Tap(fleet.entries[owner]).fail_at("results", 1, effect, die)
-        await fleet.wait_for(lambda: gone)
-        await gone[0]
+        durability.LogInterceptor(fleet.entries[owner]).fail_append(
+            "results", 1, effect, crash
+        )
+        await fleet.wait_for(lambda: crashes)
+        await crashes[0]
         await durability.check_results(fleet, job_id, 60)
         assert len(durability.get_runs(fleet, job_id)) == 60
 
     durability.run(check, engine_settings={"base_step_ms": 20})
 
 
-def test_answers_of_appends_are_lost():
-    """The log takes what an entry writes and the answers get lost, again and again.
-
-    Whoever takes that for a failure writes a job or a result twice.
+def test_responses_of_appends_are_lost():
+    """Appends take effect but their responses are lost. Treating them as failed would
+    write a job or a result twice.
     """
 
     async def check(fleet):
         for entry in fleet.entries.values():
-            tap = durability.Tap(entry)
-            seen = []
+            interceptor = durability.LogInterceptor(entry)
+            attempts = []
 
-            async def rule(stream, records, tap=tap, seen=seen):
-                first = await tap._append(stream, records)
-                seen.append(1)
-                if len(seen) % 2:
+            async def rule(stream, records, interceptor=interceptor, attempts=attempts):
+                first = await interceptor._append(stream, records)
+                attempts.append(1)
+                if len(attempts) % 2:
                     raise exception.LogUnavailableError("no answer")
                 return first
 
-            tap.rule = rule
+            interceptor.rule = rule
         lines = embedded.make_job_lines(80)
         answer = await fleet.submit(lines, "k", entry="entry-1")
         assert answer.status == 202
@@ -119,29 +117,28 @@
 
 
 def test_two_owners_at_once():
-    """An owner no longer sees the log, another one takes over, and both write.
-
-    The results of the first would complete items that the second one runs.
+    """An owner that cannot read the log is superseded, and both owners append results.
+    Results of the previous epoch must be fenced.
     """
 
     async def check(fleet):
-        taps = durability.tap_entries(fleet)
+        interceptors = durability.intercept_logs(fleet)
         answer = await fleet.submit(embedded.make_job_lines(600, 8), "k")
         job_id = answer.decode()["id"]
         owner = await fleet.wait_for(lambda: durability.find_owner(fleet, job_id))
         await fleet.wait_for(lambda: durability.get_runs(fleet, job_id))
         stale = fleet.entries[owner]
         other = next(e for name, e in fleet.entries.items() if name != owner)
-        tap = taps[owner]
-        tap.reads.clear()
+        interceptor = interceptors[owner]
+        interceptor.reads.clear()
         shard = other.table.find(job_id)
         claim = batch_record.make_claim(shard.ledger.epoch + 1, other.owner, 0.0)
         await shard.replica.append([claim], 5)
-        written = tap.types["results"]
-        await fleet.wait_for(lambda: tap.types["results"] > written)
+        written = interceptor.counts_by_type["results"]
+        await fleet.wait_for(lambda: interceptor.counts_by_type["results"] > written)
         name = other.settings.name
         await durability.check_results(fleet, job_id, 600, 8, entry=name)
-        tap.reads.set()
+        interceptor.reads.set()
         await durability.check_results(fleet, job_id, 600, 8, entry=owner)
         refs = [e.table.find(job_id).ledger.jobs[job_id].refs for e in (stale, other)]
         assert refs[0] == refs[1]
@@ -150,30 +147,30 @@
 
 
 def test_record_of_a_stale_owner_lands_after_the_next_claim():
-    """An owner's results are on their way while another one takes over and runs the
-    same items. The results land before those of the new owner.
-
-    The user would see items completed by a process that nobody waits for, and that
-    may end them otherwise than the owner in force.
+    """Delayed results of a superseded owner are appended after the claim of the next
+    owner, but before its results. They must be fenced.
     """
 
     async def check(fleet):
-        taps = durability.tap_entries(fleet)
-        holds = {name: tap.hold("results") for name, tap in taps.items()}
+        interceptors = durability.intercept_logs(fleet)
+        delayed = {
+            name: interceptor.delay_appends("results")
+            for name, interceptor in interceptors.items()
+        }
         answer = await fleet.submit(embedded.make_job_lines(60), "k")
         job_id = answer.decode()["id"]
         owner = await fleet.wait_for(lambda: durability.find_owner(fleet, job_id))
         other = next(name for name in fleet.entries if name != owner)
-        held, release, landed = holds[owner]
+        held, release, offsets = delayed[owner]
         await fleet.wait_for(lambda: held)
         await durability.claim(fleet, other, job_id)
-        await fleet.wait_for(lambda: holds[other][0])
+        await fleet.wait_for(lambda: delayed[other][0])
         release.set()
-        await fleet.wait_for(lambda: landed)
+        await fleet.wait_for(lambda: offsets)
         shard = fleet.entries[other].table.find(job_id)
-        await fleet.wait_for(lambda: shard.replica.offset > landed[0])
+        await fleet.wait_for(lambda: shard.replica.offset > offsets[0])
         assert shard.ledger.jobs[job_id].pending == 60
-        holds[other][1].set()
+        delayed[other][1].set()
         for entry in fleet.entries:
             await durability.check_results(fleet, job_id, 60, entry=entry)
         assert held[0]["id"] not in shard.ledger.jobs[job_id].refs
@@ -182,10 +179,8 @@
 
 
 def test_log_is_down_longer_than_every_timeout():
-    """The log is down while jobs run and while clients submit and resend.
-
-    A client that is told "not run" would submit elsewhere; what was accepted must
-    complete once the log is back.
+    """The log is down while jobs run and clients submit. Accepted jobs complete after
+    the outage, and failed submissions must not be reported as not run.
     """
 
     async def check(fleet):
@@ -208,10 +203,8 @@
 
 
 def test_job_and_results_outlive_retention():
-    """The log drops its records while a job is open and while results are owed, and
-    the entries are replaced meanwhile.
-
-    The user would lose items of the open job, and results that were not fetched.
+    """The log deletes records by retention and the entries are replaced while a job is
+    open and results are unread. Neither items nor results may be lost.
     """
 
     async def check(fleet):
@@ -240,16 +233,16 @@
     durability.run(check, engines=1, **SHORT_RETENTION)
 
 
-def test_jobs_expire_when_their_results_are_no_longer_owed():
+def test_jobs_expire_after_the_retention_of_results():
     async def check(fleet):
         job_id = (await fleet.submit(embedded.make_job_lines(3), "k")).decode()["id"]
         await fleet.wait_for_job(job_id)
 
-        async def is_gone():
+        async def is_expired():
             answer = await fleet.fetch("GET", f"/v1/batches/{job_id}")
             return answer.status == 404
 
-        await fleet.wait_for(is_gone)
+        await fleet.wait_for(is_expired)
         again = await fleet.submit(embedded.make_job_lines(4), "k")
         assert again.status == 202
 
@@ -257,10 +250,9 @@
     durability.run(check, entry_settings=settings)
 
 
-def test_items_and_results_that_the_log_dropped_are_named():
-    """The log drops bodies earlier than agreed, before anything was carried forward.
-
-    The job would never end, or its user would wait for results that don't exist.
+def test_lost_items_and_results_are_reported():
+    """The log deletes records before their retention ends, so that they could not be
+    appended again. The lost items and results are reported as errors.
     """
 
     async def check(fleet):
@@ -283,7 +275,7 @@
 
 
 def test_bad_item_fails_alone():
-    """An item is one that no engine can run. It ends at once, its neighbours run."""
+    """An item that no engine can run fails at once; the other items complete."""
 
     async def check(fleet):
         lines = embedded.make_job_lines(10) + b"\n"
@@ -300,11 +292,9 @@
     durability.run(check)
 
 
-def test_results_are_read_though_connections_to_the_log_fell_silent():
-    """Something between an entry and the log forgets the connections that are open.
-
-    The log is well and new connections to it work, but a caller who asks for results
-    would hear that the log is down.
+def test_results_are_readable_after_log_connections_stall():
+    """Open connections to the log stop transmitting, but new ones work. Reading results
+    must not report that the log is unavailable.
     """
 
     async def check(fleet):
--- a/pimentowick/entry/tests/test_job.py
+++ b/pimentowick/entry/tests/test_job.py
@@ -1,4 +1,4 @@
-"""Batch jobs through the entry's API, with everything well."""
+"""The batch API of entries, without failures."""
 
 from pimentowick.fakes import embedded, engine
 
@@ -27,7 +27,7 @@
     embedded.run(check)
 
 
-def test_bad_lines_are_named_and_nothing_is_kept():
+def test_invalid_lines_are_reported_and_nothing_is_stored():
     async def check(fleet):
         lines = embedded.make_job_lines(3) + b'\n{"custom_id": "x"'
         answer = await fleet.submit(lines, "k")
--- a/pimentowick/entry/tests/test_online.py
+++ b/pimentowick/entry/tests/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests while targets, agents, entries and connections fail."""
+"""Online requests under failures of targets, agents, entries and connections."""
 
 import asyncio
 import time
@@ -22,8 +22,8 @@
     return [fleet.targets[name] for name in sorted(fleet.targets) if name[:2] == "lm"]
 
 
-def break_once(fleet, kind):
-    """Return a function that breaks the stream once some of it has come."""
+def inject_fault_once(fleet, kind):
+    """Return a callback that injects a fault after the first text of a stream."""
     done = []
 
     def on_text(outcome):
@@ -36,29 +36,30 @@
     return on_text
 
 
-class MuddledEngine(engine.Engine):
-    """Sends every token twice, beside those of other requests and attempts."""
+class FaultyEngine(engine.Engine):
+    """Repeats every token and mixes in tokens of other requests and attempts."""
 
     def _emit(self, stream):
-        junk = {"index": stream.index, "text": " wrong"}
+        wrong_step = {"index": stream.index, "text": " wrong"}
         for request_id, attempt in [("other", 1), (stream.request_id, 0)]:
             other = engine._Stream(request_id, attempt, "", 1, 0, stream.sink)
-            stream.sink.send(other.make_line(**junk) + other.make_end("stop"), False)
+            stream.sink.send(
+                other.make_line(**wrong_step) + other.make_end("stop"), False
+            )
         if stream.index:
             stream.index -= 1
             stream.sink.send(stream.make_step(), False)
         super()._emit(stream)
 
 
-def test_each_of_many_callers_gets_its_own_answer():
-    """Engines mix up answers, repeat lines, and send what earlier attempts asked for.
-
-    A caller would read a text that belongs to somebody else, or words twice.
+def test_each_caller_gets_its_own_response():
+    """Engines send lines of other requests and attempts, and repeat lines. Each caller
+    must receive exactly its own text.
     """
 
     async def check(fleet, callers):
         for index in range(2):
-            target = MuddledEngine(models=[embedded.MODEL], base_step_ms=2)
+            target = FaultyEngine(models=[embedded.MODEL], base_step_ms=2)
             name = f"lm-muddled-{index}"
             await fleet.add_target(name, "engine", embedded.MODEL, target)
         await fleet.wait_for(fleet.is_ready)
@@ -74,15 +75,13 @@
 
 
 @pytest.mark.parametrize("kind", ["cut", "stall"])
-def test_broken_stream_goes_on_at_another_engine(kind):
-    """An engine breaks off, or falls silent, in the middle of an answer.
-
-    The caller of a stream has a part of it already. The rest has to follow without
-    a token lost or doubled, though it comes from another engine.
+def test_broken_stream_resumes_at_another_engine(kind):
+    """An engine disconnects or stalls in the middle of a stream. Another engine resumes
+    it without lost or repeated tokens.
     """
 
     async def check(fleet, callers):
-        on_text = break_once(fleet, kind)
+        on_text = inject_fault_once(fleet, kind)
         outcome = await callers.stream("break", 60, on_text=on_text)
         assert outcome.whole
         assert callers.count_runs(outcome.request_id) == 2
@@ -90,8 +89,8 @@
     run(check, agent_settings={"idle_s": 0.5})
 
 
-def test_stream_goes_on_after_its_agent_died():
-    """The process beside the engine dies while an answer passes through it."""
+def test_stream_resumes_after_its_agent_crashed():
+    """An agent crashes while it relays a stream."""
 
     async def check(fleet, callers):
         crashes = []
@@ -107,11 +106,9 @@
     run(check)
 
 
-def test_stream_that_cannot_go_on_ends_with_an_error():
-    """All engines break off whatever they answer.
-
-    A client takes a stream for whole when it sees the end mark, so there must be
-    none, and an event has to say what is known instead.
+def test_stream_that_cannot_resume_ends_with_an_error():
+    """All engines disconnect in the middle of streams. Streams must end with an error
+    event and without the end mark, which would make them look complete.
     """
 
     async def check(fleet, callers):
@@ -137,10 +134,9 @@
         ("closed", "not_run"),
     ],
 )
-def test_refusal_says_what_is_known(kind, verdict):
-    """Every target fails in the same way, before or after it began to work.
-
-    Callers act on what the refusal says: "not run" makes them send again.
+def test_refusal_has_the_right_verdict(kind, verdict):
+    """All targets fail before or after they start a request. The verdict must be right,
+    since callers retry a request that was not run.
     """
 
     async def check(fleet, callers):
@@ -151,7 +147,7 @@
                 place(target, kind)
         outcomes = [await callers.chat("x"), await callers.stream("y")]
         if kind != "down":
-            # A service's own 503 is its answer and is handed on as such.
+            # A 503 sent by a service itself is forwarded unchanged.
             outcomes += [await callers.confirm(), await callers.confirm("k")]
         for outcome in outcomes:
             assert outcome.verdict == verdict, outcome
@@ -161,25 +157,23 @@
 
 
 async def resend_until_final(fleet, callers, key):
-    """Send a keyed call through all entries in turn until its outcome is known."""
+    """Retry a call with an idempotency key via all entries until it has an outcome."""
     for number in range(200):
         names = sorted(fleet.entries)
         outcome = await callers.confirm(key, entry=names[number % len(names)])
         if outcome.whole or outcome.verdict == "ran":
             return outcome
         if outcome.verdict == "may_have_run" and fleet.targets["desk-0"].keys[key]:
-            # Ran with its answer lost: nobody can ever say more.
+            # The call ran and its response is lost, so the outcome stays unknown.
             return outcome
         await asyncio.sleep(0.02)
-    raise AssertionError("The call stayed without an outcome.")
+    raise AssertionError("The call has no outcome after all retries.")
 
 
 @pytest.mark.parametrize("fault", ["lose_answer", "cut", "agent", "entry", "log"])
 def test_keyed_call_runs_at_most_once(fault):
-    """The first answer to a call is lost, and its caller asks again and again.
-
-    The resends come through other entries, while the service, the agent, the entry
-    that held the claim or the log fails. A stand must not be confirmed twice.
+    """A call with an idempotency key is retried via other entries while the service,
+    the agent, the claiming entry or the log fails. It must run at most once.
     """
 
     async def check(fleet, callers):
@@ -206,11 +200,9 @@
     run(check)
 
 
-def test_keyed_call_waits_out_a_log_outage():
-    """The log is down when a call arrives, and answers again later.
-
-    Without the claim nobody may run the call. The refusal is true, and the same call
-    goes through once the log is back.
+def test_keyed_call_succeeds_after_a_log_outage():
+    """A call with an idempotency key is rejected as not run if the log is down, since
+    it cannot be claimed. It succeeds once the log recovers.
     """
 
     async def check(fleet, callers):
@@ -226,10 +218,9 @@
 
 
 @pytest.mark.parametrize("kind", ["lose_answer", "cut"])
-def test_call_without_key_is_never_tried_again(kind):
-    """A service ran a call and its answer is lost; there is a second service.
-
-    Only the caller can know whether a second run is wanted.
+def test_call_without_key_is_never_retried(kind):
+    """The response to a call that is not idempotent is lost. The call must not be
+    retried at the second service.
     """
 
     async def check(fleet, callers):
@@ -243,11 +234,9 @@
 
 
 @pytest.mark.parametrize("times", [1, 2])
-def test_connections_to_agents_fall_silent_for_good(times):
-    """Something between entries and agents forgets every open connection, even twice.
-
-    New connections work. Nobody is told; requests on the old ones would wait for
-    ever, and calls that must not be repeated must not be tried again.
+def test_connections_to_agents_stall(times):
+    """All open connections to agents stop transmitting without being closed, but new
+    ones work. Requests must not hang, and calls that may not be repeated must succeed.
     """
 
     async def check(fleet, callers):
@@ -270,8 +259,8 @@
     run(check, entry_settings={"idle_s": 0.5})
 
 
-def test_connections_to_engines_and_log_fall_silent_for_good():
-    """Two hops go silent together, from agents to targets and from all to the log."""
+def test_connections_to_engines_and_log_stall():
+    """Open connections to the targets and to the log stop transmitting together."""
 
     async def check(fleet, callers):
         await asyncio.gather(*(callers.chat(f"warm {i}") for i in range(8)))
@@ -286,11 +275,9 @@
     run(check, agent_settings={"idle_s": 0.5}, entry_settings={"append_s": 5.0})
 
 
-def test_deadline_ends_a_request_and_blames_no_target():
-    """A caller allows less time than the answer takes, again and again.
-
-    It gets its refusal when its time is over. If that counted as a failure of the
-    target, one caller could eject all targets for everybody.
+def test_deadline_is_not_counted_as_target_failure():
+    """Requests that exceed their own deadline get a 504 and do not count as failures of
+    the target; otherwise one caller could get all targets ejected.
     """
 
     async def check(fleet, callers):
@@ -310,16 +297,15 @@
     run(check)
 
 
-def test_caller_that_leaves_frees_its_places():
-    """Callers disconnect in the middle of their answers, and while they wait.
-
-    The engine would go on for nobody, and each would cost a place until its deadline.
+def test_disconnected_caller_frees_its_slots():
+    """Callers disconnect while their requests run or wait. They must be cancelled
+    at once, so that they hold no slots until their deadline.
     """
 
     async def check(fleet, callers):
         (target,) = list_engines(fleet)
         agent = fleet.agents["agent-lm-0"]
-        # With nothing to write, no failed write can tell that the caller has gone.
+        # While the engine stalls, no failed write can reveal the disconnect.
         place(target, "stall", path=GENERATE)
         streams = [callers.open_stream(f"leave {i}", 512) for i in range(3)]
         chats = [asyncio.ensure_future(callers.chat(f"go {i}", 512)) for i in range(3)]
@@ -346,10 +332,9 @@
     run(check, engines=1, agent_settings={**small, "idle_s": 60.0})
 
 
-def test_agents_start_before_their_engines_and_come_back():
-    """An agent starts while its engine is down; later it restarts at once elsewhere.
-
-    Requests go where work is possible, and come back when the engine answers.
+def test_agents_start_before_their_engines_and_recover():
+    """An agent restarts while its engine is down. Requests are rejected as not run, and
+    accepted again once the engines recover.
     """
 
     async def check(fleet, callers):
@@ -370,8 +355,8 @@
     run(check)
 
 
-def test_callers_get_an_error_they_can_read():
-    """Requests that are malformed, too large, or for nothing that exists."""
+def test_callers_get_json_errors():
+    """Malformed, oversized and unknown requests get a JSON error."""
 
     async def check(fleet, callers):
         cases = [
@@ -391,11 +376,9 @@
     run(check, entry_settings={"max_body_bytes": 1_000_000})
 
 
-def test_caller_that_reads_nothing_is_let_go_at_its_deadline():
-    """A caller's connection falls silent for good while its answer is written.
-
-    The entry would wait for the connection to take the rest, for ever, and each such
-    caller would keep one of the places of its workspace.
+def test_caller_that_stops_reading_is_disconnected_at_its_deadline():
+    """A caller stops reading in the middle of a response. The entry must abort
+    the write at the deadline and free the concurrency slot of the workspace.
     """
 
     async def generate(request):
@@ -421,11 +404,9 @@
     run(check, entries=1, engines=1)
 
 
-def test_keyed_call_whose_caller_left_is_settled():
-    """A caller hangs up while its call runs, and asks again by the same key.
-
-    The call goes on, since it can't be undone; its answer has to be there for the
-    one who asks again, who could otherwise never know.
+def test_keyed_call_of_disconnected_caller_is_recorded():
+    """A caller disconnects while its call with an idempotency key runs, then retries.
+    The call continues, and the retry gets the recorded response.
     """
 
     async def check(fleet, callers):
@@ -444,8 +425,8 @@
     run(check)
 
 
-def test_idempotent_call_whose_caller_left_frees_its_place():
-    """Callers of a slow service hang up while it works on what may be repeated."""
+def test_idempotent_call_of_disconnected_caller_frees_its_slot():
+    """Idempotent calls are cancelled when their callers disconnect."""
 
     async def check(fleet, callers):
         agent = fleet.agents["agent-desk-0"]
@@ -463,11 +444,9 @@
     run(check)
 
 
-def test_claim_that_lands_late_does_not_block_its_key():
-    """An append is given up for lost, and the log takes it long afterwards.
-
-    The request was refused as not run, and its claim would now answer "in progress"
-    to everybody who asks by that key.
+def test_late_claim_does_not_block_its_key():
+    """The claim of a call that was rejected as not run is appended late. Retries with
+    the same key must not be told that the call is in progress.
     """
 
     async def check(fleet, callers):
--- a/pimentowick/entry/tests/test_peer.py
+++ b/pimentowick/entry/tests/test_peer.py
@@ -1,11 +1,11 @@
-"""What entries tell each other is not for callers."""
+"""Callers cannot access the paths for traffic between entries."""
 
 import asyncio
 import http.client
 
 from pimentowick.fakes import embedded
 
-ELSEWHERE = "127.0.0.2"
+CALLER_IP = "127.0.0.2"
 
 
 def fetch_from(source, address, path):
@@ -18,16 +18,15 @@
 
 
 def test_callers_cannot_read_the_configuration_of_all():
-    """A caller who reaches an entry's port asks for the path that entries use.
-
-    The answer holds the names and settings of all workspaces, rivals included.
+    """The paths between entries reveal the settings of all workspaces, so requests from
+    other hosts are rejected.
     """
 
     async def check(fleet):
         entry = fleet.entries["entry-0"].address
         for path in ("/peer/configuration", "/peer/version"):
-            refused = await asyncio.to_thread(fetch_from, ELSEWHERE, entry, path)
-            taken = await asyncio.to_thread(fetch_from, "127.0.0.1", entry, path)
-            assert (refused, taken) == (403, 200)
+            refused = await asyncio.to_thread(fetch_from, CALLER_IP, entry, path)
+            accepted = await asyncio.to_thread(fetch_from, "127.0.0.1", entry, path)
+            assert (refused, accepted) == (403, 200)
 
     embedded.run(check)
--- a/pimentowick/entry/tests/test_processes.py
+++ b/pimentowick/entry/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Owners that are frozen and items that kill their engine, in separate processes."""
+"""Frozen owners and items that crash engines, with separate processes."""
 
 import asyncio
 import collections
@@ -44,13 +44,13 @@
     return answer.decode()["id"]
 
 
-async def wait_for_owner(fleet, entry, unwanted=None):
-    """Return the number of the entry that owns the shard, as `entry` sees it."""
+async def wait_for_owner(fleet, entry, excluded=None):
+    """Return the owner of the shard according to `entry`, once it is not `excluded`."""
 
     async def has_owner():
         status = (await fleet.fetch(entry, "GET", "/v1/admin/status")).decode()
         owner = status["shards"]["0"]["owner"]
-        return owner if owner is not None and owner != unwanted else None
+        return owner if owner is not None and owner != excluded else None
 
     return await fleet.wait_for(has_owner)
 
@@ -79,7 +79,7 @@
 
 
 async def freeze_owner(fleet, job_id):
-    """Freeze the owner of the job; return its process and the other entry's number."""
+    """Stop the owner's process; return it, the owner and the other entry's number."""
 
     async def has_runs():
         return await get_runs(fleet)
@@ -93,11 +93,9 @@
     return frozen, owner, 1 - number
 
 
-def test_owner_is_frozen_past_its_takeover_and_wakes():
-    """The process of an owner is stopped, another entry takes the shard, and the first
-    one goes on as if no time had passed.
-
-    The user would find items twice, or the results of an owner that nobody follows.
+def test_owner_resumes_after_its_takeover():
+    """An owner's process is frozen, another entry claims the shard, and the first owner
+    resumes. Each item must have exactly one result.
     """
 
     async def check(fleet):
@@ -117,9 +115,8 @@
 
 
 def test_cancel_while_the_owner_is_frozen():
-    """The owner is stopped while it runs a job, the job is cancelled, and it wakes.
-
-    What it still believes to hold must start nothing.
+    """The job is cancelled while its owner's process is frozen. After it resumes, the
+    owner must not start any item under its expired leases.
     """
 
     async def check(fleet):
@@ -140,11 +137,9 @@
     run(check, {"engine": {"base_step_ms": 15}})
 
 
-def test_item_that_kills_its_engine_ends_and_spares_its_neighbours():
-    """An item makes any engine die that runs it, and the platform restarts engines.
-
-    Without a bound it would kill one engine after the other for ever; without the
-    run alone its neighbours would be blamed.
+def test_item_that_crashes_engines_fails_alone():
+    """An item crashes every engine that runs it. Its attempts must be limited, and it
+    has to be retried alone so that other items on the engine are not blamed.
     """
 
     async def check(fleet):
@@ -168,7 +163,7 @@
 
 
 async def restart_engines(fleet):
-    """Start each engine that died again, at its port."""
+    """Restart crashed engines on their previous ports."""
     while True:
         for name, process in list(fleet.processes.items()):
             is_engine = name.startswith(embedded.MODEL)
--- a/pimentowick/entry/tests/test_publish.py
+++ b/pimentowick/entry/tests/test_publish.py
@@ -1,4 +1,4 @@
-"""Configuration that was accepted is in force everywhere and never reverts."""
+"""Accepted configuration changes reach all entries and are never reverted."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 async def publish_many(fleet, count):
-    """Publish changes one after another and return the last version."""
+    """Publish `count` changes in sequence and return the last version."""
     version = get_version(fleet.entries["entry-0"])
     for share in range(1, count + 1):
         answer = await publish(fleet, version, share)
@@ -36,60 +36,59 @@
     return version
 
 
-def note_versions(entry, landed):
-    """Return a list that grows by what is in force after each read of the log.
+def record_versions(entry, appended):
+    """Return a list to which the current version is added after each read of the log.
 
-    Only reads that began after `landed` was set count.
+    Only reads that start after `appended` is set are recorded.
     """
     log = entry.configuration_replica.log
     read = log.read
     versions = []
     counts = [False]
 
-    async def read_and_note(stream, *args, **fields):
+    async def read_and_record(stream, *args, **fields):
         if stream == entry.configuration_replica.stream:
             if counts[0]:
                 versions.append(get_version(entry))
-            counts[0] = landed.is_set()
+            counts[0] = appended.is_set()
         return await read(stream, *args, **fields)
 
-    log.read = read_and_note
+    log.read = read_and_record
     return versions
 
 
 def test_change_is_in_force_after_one_read_of_the_log():
-    """A change is in the log and the entries read on.
-
-    An entry that needed more than the first read from then on would serve by the old
-    configuration for as long as the log holds back each answer.
+    """An entry applies a change with its first read after the append. Needing a second
+    read would delay the change by another long poll.
     """
 
     async def check(fleet):
-        tap = durability.Tap(fleet.entries["entry-0"])
-        landed = asyncio.Event()
+        interceptor = durability.LogInterceptor(fleet.entries["entry-0"])
+        appended = asyncio.Event()
 
         async def append(stream, records):
-            first = await append_before(stream, records)
+            first = await original_append(stream, records)
             if stream == "configuration":
-                landed.set()
+                appended.set()
             return first
 
-        append_before, tap.log.append = tap.log.append, append
-        noted = [note_versions(entry, landed) for entry in fleet.entries.values()]
+        original_append, interceptor.log.append = interceptor.log.append, append
+        recorded = [
+            record_versions(entry, appended) for entry in fleet.entries.values()
+        ]
         version = get_version(fleet.entries["entry-0"])
         answer = await publish(fleet, version, 2, "entry-0")
         assert answer.status == 200
-        await fleet.wait_for(lambda: all(noted))
-        for versions in noted:
+        await fleet.wait_for(lambda: all(recorded))
+        for versions in recorded:
             assert set(versions) == {answer.decode()["version"]}
 
     durability.run(check)
 
 
-def test_one_of_racing_operators_wins():
-    """Operators amend the same version through different entries at once.
-
-    If the last one won, the change of another would vanish though it was accepted.
+def test_one_of_several_concurrent_changes_is_accepted():
+    """Several operators amend the same version concurrently. Exactly one is accepted; a
+    last write that wins would silently discard an accepted change.
     """
 
     async def check(fleet):
@@ -100,36 +99,35 @@
                 for share in range(1, 7)
             )
         )
-        won = [each.decode()["version"] for each in answers if each.status == 200]
-        lost = [each.decode()["error"] for each in answers if each.status == 409]
-        assert len(won) == 1 and len(lost) == 5
-        for error in lost:
+        accepted = [each.decode()["version"] for each in answers if each.status == 200]
+        rejected = [each.decode()["error"] for each in answers if each.status == 409]
+        assert len(accepted) == 1 and len(rejected) == 5
+        for error in rejected:
             assert error["code"] == "conflict"
-            assert f"version {won[0]} by" in error["message"]
+            assert f"version {accepted[0]} by" in error["message"]
         for entry in fleet.entries.values():
-            assert get_version(entry) == won[0]
+            assert get_version(entry) == accepted[0]
 
     durability.run(check)
 
 
 def test_lost_answer_to_a_publish():
-    """The log takes a change and its answer is lost.
-
-    The operator would hear of a failure while the change is in force.
+    """The append of a change takes effect but its response is lost. The change must not
+    be reported as failed.
     """
 
     async def check(fleet):
         version = get_version(fleet.entries["entry-0"])
-        tap = durability.Tap(fleet.entries["entry-0"])
-        taken = tap._append
+        interceptor = durability.LogInterceptor(fleet.entries["entry-0"])
+        original_append = interceptor._append
 
         async def lose_answer(stream, records):
-            first = await taken(stream, records)
+            first = await original_append(stream, records)
             if stream == "configuration":
                 raise exception.LogUnavailableError("no answer")
             return first
 
-        tap._append = lose_answer
+        interceptor._append = lose_answer
         answer = await publish(fleet, version, 3)
         assert answer.status == 200
         assert answer.decode()["in_force"] == 2
@@ -138,10 +136,8 @@
 
 
 def test_entry_that_starts_while_the_log_is_down():
-    """An entry starts in an outage of the log, and meanwhile others serve.
-
-    Without a configuration it must not say that it is ready; with that of another
-    entry it serves, and it never goes back to an older one.
+    """An entry that starts while the log is down is not ready until it installs the
+    configuration of another entry, and never reverts to an older version.
     """
 
     async def check(fleet):
@@ -169,17 +165,15 @@
 
 
 def test_entry_that_missed_ten_changes():
-    """An entry sees nothing of the log during ten changes, and the log drops them.
-
-    With the old state it would honour what was withdrawn; it must come to the newest
-    one, without a step back, also when an old checkpoint comes first.
+    """An entry cannot read the log during ten changes, which are then truncated. It
+    must reach the newest version, even if it reads an older checkpoint first.
     """
 
     async def check(fleet):
         behind = fleet.entries["entry-1"]
         ahead = fleet.entries["entry-0"]
-        tap = durability.Tap(behind)
-        tap.reads.clear()
+        interceptor = durability.LogInterceptor(behind)
+        interceptor.reads.clear()
         await fleet.unlist_host("entry-1")
         old = await ahead.configuration_replica.make_checkpoint(200_000)
         version = await publish_many(fleet, 10)
@@ -189,7 +183,7 @@
         for record in await ahead.configuration_replica.make_checkpoint(200_000):
             fleet.log.append("configuration", [record])
         fleet.log.truncate("configuration", dropped)
-        tap.reads.set()
+        interceptor.reads.set()
         await fleet.wait_for(lambda: get_version(behind) == version)
         assert behind.configuration.dump() == ahead.configuration.dump()
 
@@ -197,16 +191,15 @@
 
 
 def test_configuration_outlives_retention():
-    """The log drops all changes while nobody publishes, and the entries are replaced.
-
-    Customers would find their tokens unknown.
+    """The log deletes all changes by retention and the entries are replaced. The
+    configuration has to survive in a checkpoint.
     """
 
     async def check(fleet):
         version = await publish_many(fleet, 3)
         head = fleet.log.measure("configuration")[1]
         await fleet.wait_for(lambda: fleet.log.measure("configuration")[0] >= head)
-        # Nobody is left to ask: only the log can tell.
+        # No other entry is left to bootstrap from, only the log.
         for name in list(fleet.entries):
             await fleet.crash(name)
             await fleet.unlist_host(name)
@@ -223,27 +216,25 @@
     )
 
 
-def test_garbled_records_are_told_and_change_nothing():
-    """Somebody appends to the configuration stream himself and gets it wrong.
-
-    The record is skipped everywhere; nobody would know why without the audit trail
-    and a line in the log of each entry.
+def test_malformed_records_are_logged_and_have_no_effect():
+    """Malformed records in the configuration stream have no effect. Each one is audited
+    and logged by every entry.
     """
     lines = []
 
     async def check(fleet):
         version = get_version(fleet.entries["entry-0"])
-        garbled = [
+        malformed = [
             "no object",
             {"id": "ab" * 8, "type": "template", "name": "plain", "amends": "x"},
             {"type": "unheard of"},
         ]
-        fleet.log.append("configuration", garbled)
-        await fleet.wait_for(lambda: len(lines) == len(garbled) * len(fleet.entries))
+        fleet.log.append("configuration", malformed)
+        await fleet.wait_for(lambda: len(lines) == len(malformed) * len(fleet.entries))
         for entry in fleet.entries.values():
-            notes = list(entry.configuration.audit)[-len(garbled) :]
-            assert not any(note.accepted for note in notes)
-            assert all(note.reason for note in notes)
+            audit_entries = list(entry.configuration.audit)[-len(malformed) :]
+            assert not any(audit_entry.accepted for audit_entry in audit_entries)
+            assert all(audit_entry.reason for audit_entry in audit_entries)
         assert (await publish(fleet, version, 2)).status == 200
 
     sink = logger.add(lines.append, filter=lambda line: "no effect" in line["message"])
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -268,14 +268,14 @@
         Raises:
             LogError: The read failed.
         """
-        found = []
+        matches = []
         async for page in self._list_pages(topic, part, prefix):
             matching = [row for row in page.records if row.key.startswith(prefix)]
-            found += matching
+            matches += matching
             if len(matching) < len(page.records):
                 break
-        if found:
-            return found
+        if matches:
+            return matches
         page = await self.read_newest(topic, part)
         return [record for record in page.records if record.key.startswith(prefix)]
 
@@ -291,8 +291,8 @@
             self._check(response)
             data = response.decode()
             rows = [_decode_row(row) for row in data["items"]]
-            found = [record for record in rows if record is not None]
-            yield Page(found, data["end"], data["end"])
+            records = [record for record in rows if record is not None]
+            yield Page(records, data["end"], data["end"])
             if not data.get("has_more") or not data["items"]:
                 return
             after = data["items"][-1]["key"]
@@ -308,9 +308,9 @@
         }
         response = await self._call("POST", "/-/log-join", body=data)
         self._check(response)
-        found = response.decode()
-        parts = frozenset(row[1] for row in found["parts"])
-        return PartitionAssignment(found["generation"], parts)
+        assignment = response.decode()
+        parts = frozenset(row[1] for row in assignment["parts"])
+        return PartitionAssignment(assignment["generation"], parts)
 
     async def leave(self, group, member):
         """Leave a group, which releases all its partitions immediately."""
