--- a/pimentowick/configuration/change.py
+++ b/pimentowick/configuration/change.py
@@ -77,11 +77,13 @@
     redacted = dict(body)
     for key in ("operators", "tokens"):
         if key in redacted:
-            redacted[key] = [_redact_entry(entry) for entry in redacted[key]]
+            redacted[key] = [
+                _redact_token(stored_token) for stored_token in redacted[key]
+            ]
     return redacted
 
 
-def _redact_entry(entry):
-    redacted = {key: value for key, value in entry.items() if key != "salt"}
-    redacted["hash"] = entry["hash"][:SHOWN_HASH_CHARS]
+def _redact_token(stored_token):
+    redacted = {key: value for key, value in stored_token.items() if key != "salt"}
+    redacted["hash"] = stored_token["hash"][:SHOWN_HASH_CHARS]
     return redacted
--- a/pimentowick/configuration/state_machine.py
+++ b/pimentowick/configuration/state_machine.py
@@ -271,16 +271,16 @@
             client=_get_text(record, "client"),
         )
 
-    def _append_audit_entry(self, entry):
-        self.audit.append(entry)
-        if entry.id and entry.reason != DUPLICATE_REASON:
-            self._outcomes[entry.id] = entry
+    def _append_audit_entry(self, audit_entry):
+        self.audit.append(audit_entry)
+        if audit_entry.id and audit_entry.reason != DUPLICATE_REASON:
+            self._outcomes[audit_entry.id] = audit_entry
         if len(self.audit) > MAX_AUDIT_ENTRIES:
             self._drop_outcome(self.audit.popleft())
 
-    def _drop_outcome(self, entry):
-        if self._outcomes.get(entry.id) is entry:
-            del self._outcomes[entry.id]
+    def _drop_outcome(self, audit_entry):
+        if self._outcomes.get(audit_entry.id) is audit_entry:
+            del self._outcomes[audit_entry.id]
 
     def _add_seen_id(self, record_id):
         self._seen_ids.add(record_id)
--- a/pimentowick/configuration/tests/test_state_machine.py
+++ b/pimentowick/configuration/tests/test_state_machine.py
@@ -37,12 +37,12 @@
     }
 
 
-def make_body(version, size=2, entries=()):
+def make_body(version, size=2, stored_tokens=()):
     return {
         "template": "small",
         "template_version": version,
         "parameters": {"size": size},
-        "tokens": [entry.to_dict() for entry in entries],
+        "tokens": [stored_token.to_dict() for stored_token in stored_tokens],
     }
 
 
@@ -222,31 +222,37 @@
     state = apply_records(
         [
             make_record(1, "template", "small", 0, TEMPLATE),
-            make_record(2, "workspace", "one", 0, make_body(1, entries=[old])),
-            make_record(3, "workspace", "two", 0, make_body(1, entries=[old])),
-            make_record(4, "workspace", "one", 2, make_body(1, entries=[old, new])),
+            make_record(2, "workspace", "one", 0, make_body(1, stored_tokens=[old])),
+            make_record(3, "workspace", "two", 0, make_body(1, stored_tokens=[old])),
+            make_record(
+                4, "workspace", "one", 2, make_body(1, stored_tokens=[old, new])
+            ),
         ]
     )
     assert "belongs to another workspace" in state.audit[2].reason
     assert state.find_workspace_by_token(old_text).name == "one"
     assert state.find_workspace_by_token(new_text).name == "one"
-    state.apply(5, make_record(5, "workspace", "one", 4, make_body(1, entries=[new])))
+    state.apply(
+        5, make_record(5, "workspace", "one", 4, make_body(1, stored_tokens=[new]))
+    )
     assert state.find_workspace_by_token(old_text) is None
     assert state.find_workspace_by_token(new_text).version == 5
     assert_equal(state, copy_state(state))
-    state.apply(6, make_record(6, "workspace", "two", 0, make_body(1, entries=[old])))
+    state.apply(
+        6, make_record(6, "workspace", "two", 0, make_body(1, stored_tokens=[old]))
+    )
     assert state.find_workspace_by_token(old_text).name == "two"
     for wrong in (None, "", ".", new.id, new_text + "\ud800", new_text[:-1]):
         assert state.find_workspace_by_token(wrong) is None
 
 
 def test_operator_tokens():
-    text, entry = tokens.make_token("ada")
-    body = {"operators": [entry.to_dict()]}
+    text, stored_token = tokens.make_token("ada")
+    body = {"operators": [stored_token.to_dict()]}
     state = apply_records([make_record(1, "fleet", "fleet", 0, body)])
     assert state.find_operator_by_token(text).name == "ada"
     assert state.fleet.shards == 8
-    twice = {"operators": [entry.to_dict(), entry.to_dict()]}
+    twice = {"operators": [stored_token.to_dict(), stored_token.to_dict()]}
     state.apply(2, make_record(2, "fleet", "fleet", 1, twice))
     assert "occurs twice" in state.audit[-1].reason
     state.apply(3, make_record(3, "fleet", "other", 0, body))
@@ -306,18 +312,20 @@
 
 
 def test_hashes_stay_out_of_reprs_and_reasons():
-    _, entry = tokens.make_token()
-    broken = {**entry.to_dict(), "hash": "not-a-hash", "secret": "hidden-value"}
+    _, stored_token = tokens.make_token()
+    broken = {**stored_token.to_dict(), "hash": "not-a-hash", "secret": "hidden-value"}
     body = {**make_body(1), "tokens": [broken]}
     records = [
         make_record(1, "template", "small", 0, TEMPLATE),
         make_record(2, "workspace", "one", 0, body),
-        make_record(3, "workspace", "one", 0, make_body(1, entries=[entry])),
+        make_record(
+            3, "workspace", "one", 0, make_body(1, stored_tokens=[stored_token])
+        ),
     ]
     state = apply_records(records)
     shown = repr(
         (state.audit, state.workspaces, state.get_document("workspace", "one"))
     )
     assert "tokens.0.hash" in shown
-    for hidden in (entry.hash, entry.salt, "not-a-hash", "hidden-value"):
+    for hidden in (stored_token.hash, stored_token.salt, "not-a-hash", "hidden-value"):
         assert hidden not in shown
--- a/pimentowick/configuration/tests/test_template.py
+++ b/pimentowick/configuration/tests/test_template.py
@@ -96,8 +96,8 @@
     first = change.make_change("fleet", "fleet", 0, "ada", {}, 1.0)
     second = change.make_change("fleet", "fleet", 0, "ada", {}, 1.0)
     assert first["id"] != second["id"]
-    entry = {"id": "abcd", "salt": "5a17" * 8, "hash": "ef" * 32}
-    lines = change.diff_documents(None, {"tokens": [entry]})
+    stored_token = {"id": "abcd", "salt": "5a17" * 8, "hash": "ef" * 32}
+    lines = change.diff_documents(None, {"tokens": [stored_token]})
     assert "+- hash: efefefef" in lines
     assert not any("5a17" in line for line in lines)
     assert change.diff_documents({"a": 1, "b": 2}, {"b": 2, "a": 1}) == []
--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -61,7 +61,7 @@
         shards: The `pimentowick.batch.shard.Shard` objects to search.
         query: The `Query`.
     """
-    notes = [_make_change_event(entry) for entry in configuration.audit]
+    notes = [_make_change_event(audit_entry) for audit_entry in configuration.audit]
     for shard in shards:
         for note in shard.ledger.notes:
             notes.append({"stream": shard.stream, **dataclasses.asdict(note)})
@@ -69,11 +69,11 @@
     return _sort_events(matching)[-query.limit :]
 
 
-def _make_change_event(entry):
-    workspace = entry.name if entry.kind == "workspace" else ""
+def _make_change_event(audit_entry):
+    workspace = audit_entry.name if audit_entry.kind == "workspace" else ""
     return {
         "stream": configuration_state_machine.STREAM,
-        **dataclasses.asdict(entry),
+        **dataclasses.asdict(audit_entry),
         "workspace": workspace,
     }
 
--- a/pimentowick/entry/service.py
+++ b/pimentowick/entry/service.py
@@ -35,8 +35,8 @@
     def on_connection_close(self):
         """Cancel an idempotent call when the caller disconnects.
 
-        A call with an idempotency key continues, since its outcome has to be recorded
-        for retries.
+        Other calls continue; if they have an idempotency key, their outcome has to be
+        recorded for retries.
         """
         if self._call_task is not None:
             self._call_task.cancel()
--- a/pimentowick/platform/message.py
+++ b/pimentowick/platform/message.py
@@ -299,7 +299,7 @@
 
 
 def find_job_operation(method, path):
-    """Return the `JobOperation` and job id of a request, or None if it has neither.
+    """Return the `JobOperation` and job id of a request, or None for other paths.
 
     Examples:
         >>> find_job_operation("GET", "/-/lots/7c41")
