--- a/pimentowick/cli/show.py
+++ b/pimentowick/cli/show.py
@@ -24,5 +24,5 @@
         document = await documents.fetch_document(
             client, self.argument("kind"), self.argument("name")
         )
-        redacted = {**document, "body": change.hide_hashes(document["body"])}
+        redacted = {**document, "body": change.redact_hashes(document["body"])}
         self.show(redacted, yaml.safe_dump(redacted, allow_unicode=True).rstrip())
--- a/pimentowick/configuration/document.py
+++ b/pimentowick/configuration/document.py
@@ -1,4 +1,4 @@
-"""Documents of the configuration, and the records that change them."""
+"""Configuration documents, audit entries, and the schemas of their records."""
 
 import copy
 import dataclasses
@@ -8,7 +8,7 @@
 import pydantic
 
 from pimentowick import exception
-from pimentowick.configuration import border, tokens
+from pimentowick.configuration import tokens, validation
 
 __all__ = [
     "KINDS",
@@ -23,33 +23,34 @@
     "PlacedModel",
     "PlacedModelBody",
     "WorkspaceBody",
-    "make_entries",
+    "make_stored_tokens",
     "parse_envelope",
     "parse_fleet",
 ]
 
 KINDS = ("template", "workspace", "fleet")
 ORDER = "order"
-"""Type of a record that is kept for the audit trail and changes no document."""
+"""Type of a record that is only audited and changes no document."""
 FLEET_NAME = "fleet"
-# The field of the same name hides the module within the class.
-EntryBody = tokens.EntryBody
-BODY_LIMIT = 150_000
-"""Bytes that a body may have as JSON, so that it fits one part of a dump."""
+# Within `WorkspaceBody`, the field `tokens` shadows the module.
+StoredTokenBody = tokens.StoredTokenBody
+MAX_BODY_BYTES = 150_000
+"""Maximum size of a body as JSON, so that it fits one part of a snapshot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """A version of a document.
+    """One version of a document.
 
     Attributes:
         kind: One of `KINDS`.
         name: Name of the document.
-        version: Offset of the record that made this version.
+        version: Offset of the record that created this version.
         id: Id of that record.
-        by: Operator who made it.
-        at: Time in seconds since the epoch, as the operator's host told it.
-        body: JSON body; not to be changed.
+        by: Operator who made the change.
+        at: Time of the change in seconds since the epoch, by the clock of the host that
+            built the record.
+        body: JSON body; must not be modified.
     """
 
     kind: str
@@ -63,20 +64,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """What became of a record.
+    """The outcome of a record.
 
     Attributes:
         offset: Offset of the record.
-        at: Time that it states, in seconds since the epoch; 0 if unreadable.
-        by: Operator that it states; empty if unreadable.
+        at: Time in the record, in seconds since the epoch; 0 if unreadable.
+        by: Operator named in the record; empty if unreadable.
         kind: Kind of the document; empty if unreadable.
         name: Name of the document; empty if unreadable.
-        version_before: Version of the document before the record, 0 if none.
-        version_after: Version of the document after it, 0 if none.
+        version_before: Version of the document before the record; 0 if none.
+        version_after: Version of the document after the record; 0 if none.
         accepted: Whether the record took effect.
-        reason: Why not; empty if accepted.
+        reason: Reason for the rejection; empty if accepted.
         id: Id of the record; empty if unreadable.
-        client: Address that the change was asked from; empty if unknown.
+        client: Address of the client that requested the change; empty if unknown.
     """
 
     offset: int
@@ -94,13 +95,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """What holds for the whole fleet.
+    """Settings of the whole fleet.
 
     Attributes:
-        operators: `tokens.Entry` by token id.
-        shards: Without effect; the settings of the entries count.
-        models: `PlacedModel` by name; empty means that nothing is placed.
-        max_loads: Most loads at once, for the sake of the weight store.
+        operators: `tokens.StoredToken` by token id.
+        shards: Unused; the number of shards is set in the settings of the entries.
+        models: `PlacedModel` by name; empty disables placement.
+        max_loads: Maximum number of concurrent model loads, which bounds the load on
+            the weight store.
     """
 
     operators: dict = dataclasses.field(default_factory=dict, repr=False)
@@ -111,13 +113,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacedModel:
-    """A model that the engines are to load.
+    """The desired placement of a model on engines.
 
     Attributes:
-        version: Version of its weights; empty means whichever there is.
-        replicas_min: Fewest engines that hold it.
-        replicas_max: Most engines that hold it.
-        adapters: Version by name of the adapters that are loaded with it.
+        version: Version of the weights; empty accepts any version.
+        replicas_min: Minimum number of engines that have the model loaded.
+        replicas_max: Maximum number of engines that have the model loaded.
+        adapters: Versions by name of the adapters to load with the model.
     """
 
     version: str = ""
@@ -126,43 +128,43 @@
     adapters: dict = dataclasses.field(default_factory=dict)
 
 
-class Envelope(border.Model):
-    """Border model of a record."""
+class Envelope(validation.Model):
+    """Schema of a record."""
 
     id: str = pydantic.Field(pattern=r"^[0-9a-f]{8,64}$")
     type: typing.Literal["template", "workspace", "fleet", "order"]
     name: str = pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
     amends: int = pydantic.Field(ge=0)
     by: str = pydantic.Field(min_length=1, max_length=100)
-    at: float = pydantic.Field(ge=0, le=border.INTEGER_LIMIT)
+    at: float = pydantic.Field(ge=0, le=validation.MAX_SAFE_INTEGER)
     body: dict[str, typing.Any]
     client: str = pydantic.Field(default="", max_length=100)
 
 
-class OrderBody(border.Model):
-    """Border model of the body of an order to a host."""
+class OrderBody(validation.Model):
+    """Schema of the body of an operator's order to a host."""
 
     action: typing.Literal["drain"]
 
 
-class WorkspaceBody(border.Model):
-    """Border model of the body of a workspace document."""
+class WorkspaceBody(validation.Model):
+    """Schema of the body of a workspace document."""
 
     template: str
     template_version: int
     parameters: dict[str, typing.Any] = {}
-    tokens: list[EntryBody] = []
+    tokens: list[StoredTokenBody] = []
     stopped: bool = False
 
 
-class OperatorBody(tokens.EntryBody):
-    """Border model of an operator's token entry."""
+class OperatorBody(tokens.StoredTokenBody):
+    """Schema of an operator's stored token."""
 
     name: str = pydantic.Field(min_length=1, max_length=100)
 
 
-class PlacedModelBody(border.Model):
-    """Border model of a model that the engines are to load."""
+class PlacedModelBody(validation.Model):
+    """Schema of a `PlacedModel`."""
 
     version: str = pydantic.Field(default="", max_length=200)
     replicas_min: int = pydantic.Field(default=1, ge=1, le=100_000)
@@ -170,8 +172,8 @@
     adapters: dict[str, str] = {}
 
 
-class FleetBody(border.Model):
-    """Border model of the body of the fleet document."""
+class FleetBody(validation.Model):
+    """Schema of the body of the fleet document."""
 
     operators: list[OperatorBody] = []
     shards: int = pydantic.Field(default=8, ge=1, le=4096)
@@ -180,17 +182,17 @@
 
 
 def parse_envelope(offset, record):
-    """Return a record as the `Document` that it asks for, and what it amends.
+    """Return the `Document` that a record creates, and the version that it amends.
 
     Raises:
-        exception.ValidationError: If the record lacks the documented form.
+        exception.ValidationError: If the record is malformed.
     """
-    border.check_json(record)
-    envelope = border.validate(Envelope, record)
+    validation.check_json(record)
+    envelope = validation.validate(Envelope, record)
     if envelope.type == FLEET_NAME and envelope.name != FLEET_NAME:
         raise exception.ValidationError(f"name: the fleet's is {FLEET_NAME!r}")
-    if len(json.dumps(envelope.body)) > BODY_LIMIT:
-        raise exception.ValidationError(f"body: larger than {BODY_LIMIT} bytes")
+    if len(json.dumps(envelope.body)) > MAX_BODY_BYTES:
+        raise exception.ValidationError(f"body: larger than {MAX_BODY_BYTES} bytes")
     body = copy.deepcopy(record["body"])
     document = Document(
         envelope.type,
@@ -208,21 +210,21 @@
     """Return the body of the fleet document as a `Fleet`.
 
     Raises:
-        exception.ValidationError: If it lacks the documented form.
+        exception.ValidationError: If the body is malformed.
     """
-    parsed = border.validate(FleetBody, body)
+    parsed = validation.validate(FleetBody, body)
     models = {
         name: PlacedModel(**model.model_dump()) for name, model in parsed.models.items()
     }
     return Fleet(
-        make_entries(parsed.operators), parsed.shards, models, parsed.max_loads
+        make_stored_tokens(parsed.operators), parsed.shards, models, parsed.max_loads
     )
 
 
-def make_entries(bodies):
-    """Return token entries by id from their border models."""
-    entries = [
-        tokens.Entry(body.id, body.salt, body.hash, getattr(body, "name", ""))
+def make_stored_tokens(bodies):
+    """Return `tokens.StoredToken` by id from validated bodies."""
+    stored_tokens = [
+        tokens.StoredToken(body.id, body.salt, body.hash, getattr(body, "name", ""))
         for body in bodies
     ]
-    return tokens.index_entries(entries)
+    return tokens.index_tokens(stored_tokens)
--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -97,7 +97,7 @@
     def _find_partition(self, job_id):
         number = zlib.crc32(job_id.encode()) % (TOPIC_COUNT * self._partition_count)
         topic, partition = divmod(number, self._partition_count)
-        return platform_store.keyed_topic(f"contents{topic}"), partition
+        return platform_store.make_topic_name(f"contents{topic}"), partition
 
     async def put(self, job_id, contents, timeout_s):
         """Write contents of a job, with retries.
@@ -255,7 +255,7 @@
                     topic,
                     partition,
                     group[0].offset,
-                    most_kb=math.ceil(size / KIBIBYTE),
+                    max_kb=math.ceil(size / KIBIBYTE),
                 )
             )
         except exception.LogTruncatedError:
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -38,9 +38,9 @@
 
 METRICS_PORT = 9464
 EXIT_INVALID_SETTINGS = 2
-JOBS_TOPIC = store.keyed_topic("jobs")
-OUTCOMES_TOPIC = store.keyed_topic("outcomes")
-ENTRIES_TOPIC = store.keyed_topic("entries")
+JOBS_TOPIC = store.make_topic_name("jobs")
+OUTCOMES_TOPIC = store.make_topic_name("outcomes")
+ENTRIES_TOPIC = store.make_topic_name("entries")
 # Pauses between two reads of a busy topic. Shorter ones apply changes sooner but cause
 # more billed reads.
 CONFIGURATION_PAUSE_S = 0.05
@@ -144,7 +144,7 @@
             # The owner's name is the same after a restart, so that the entry gets its
             # partitions back without waiting for the previous lease to expire.
             address,
-            settings.least_lease_s,
+            settings.min_lease_s,
             self._on_partitions_change,
             self.neighbours.get_latest_peer_renewal,
         )
@@ -174,7 +174,7 @@
         self.authentication = authentication.Authentication(
             self.configuration,
             self._feeds["configuration"],
-            settings.revoke_s,
+            settings.key_revocation_s,
             lambda: self.ownership.is_cut_off,
         )
         self._peer_configuration = peer_configuration.PeerConfiguration(
@@ -339,7 +339,7 @@
         An unreadable file is logged and the current settings stay in force.
         """
         try:
-            settings = node.read_settings(node.find_path())
+            settings = node.read_settings(node.find_settings_path())
         except exception.SettingsError as error:
             decision_log.log_event("settings.unreadable", why=str(error))
             return
@@ -439,7 +439,7 @@
         refusal = request.sent_refusal
         self.metrics.count_refusal(refusal, request.workspace)
         if refusal.code not in LOGGED_CODES:
-            call = message.decode_call(request.headers)
+            call = message.decode_request_headers(request.headers)
             decision_log.log_request_event(
                 "caller.refused",
                 call.request_id,
@@ -486,7 +486,7 @@
     """Run an entry until SIGTERM or SIGINT arrives, then drain it."""
     decision_log.configure()
     try:
-        settings = node.read_settings(node.find_path())
+        settings = node.read_settings(node.find_settings_path())
     except exception.SettingsError as error:
         decision_log.log_event("settings.unreadable", why=str(error))
         sys.exit(EXIT_INVALID_SETTINGS)
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -85,7 +85,7 @@
         """Check the response headers; see `upstream.Sink`."""
         self.status = status
         self.last_received_at = time.monotonic()
-        if not answer.signed or answer.encoded:
+        if not answer.is_signed or answer.has_encoding:
             self.is_in_order = False
 
     async def on_chunk(self, chunk):
@@ -120,7 +120,7 @@
     """
     item_transcript = run.transcript
     sink = Sink(item_transcript)
-    headers = message.encode_item(
+    headers = message.encode_item_headers(
         run.item,
         len(item_transcript.body),
         run.job,
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -42,7 +42,7 @@
         Args:
             exchange: The `pimentowick.gateway.exchange.Exchange`.
             route: The `pimentowick.gateway.route.Route`.
-            call: The `message.Call` decoded from the headers.
+            call: The `message.RequestHeaders` decoded from the headers.
             caller: The `pimentowick.gateway.workspace.Workspace`, or None without one.
         """
         workspace_name = None if caller is None else caller.name
--- a/pimentowick/gateway/ledger.py
+++ b/pimentowick/gateway/ledger.py
@@ -194,7 +194,7 @@
             for change, in_doubt in zip(batch, was_in_doubt, strict=True):
                 change.in_doubt = in_doubt
             raise
-        except (platform_store.ChangedError, platform_store.UncertainError):
+        except (platform_store.OffsetConflictError, platform_store.UnknownOutcomeError):
             await self.feed.refresh()
             # Changes stay in doubt until newer records have been read: an earlier
             # append of the same change may be among them.
@@ -299,7 +299,10 @@
 
     The append is known to have no effect only if this holds for every attempt.
     """
-    for kind in (platform_store.ChangedError, platform_store.UncertainError):
+    for kind in (
+        platform_store.OffsetConflictError,
+        platform_store.UnknownOutcomeError,
+    ):
         for error in errors:
             if isinstance(error, kind):
                 return error
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -77,7 +77,7 @@
         Args:
             exchange: The `exchange.Exchange`.
             matched_route: The `route.Route`.
-            call: The `message.Call` decoded from its headers.
+            call: The `message.RequestHeaders` decoded from its headers.
             version: Version of the configuration that the route is from.
             workspace: The caller's `pimentowick.gateway.workspace.Workspace`, or None.
             strips_key: Whether to remove the caller's key before forwarding.
@@ -201,7 +201,7 @@
         self._progress.tried_targets.add(target.id)
         self._sink.reset()
         resume_after = self._sink.last_event_id if self._exchange.started else None
-        headers = message.encode_request(
+        headers = message.encode_request_headers(
             self._exchange.headers,
             left_s,
             target.id,
--- a/pimentowick/gateway/response.py
+++ b/pimentowick/gateway/response.py
@@ -54,7 +54,10 @@
         self.status = status
         self.headers = headers
         self.forwards_events = (
-            self._is_stream and status == 200 and answer.signed and not answer.encoded
+            self._is_stream
+            and status == 200
+            and answer.is_signed
+            and not answer.has_encoding
         )
 
     async def on_chunk(self, chunk):
@@ -73,7 +76,7 @@
         self._update_gap()
         if not self._exchange.started:
             self.first_event_at = time.monotonic()
-            headers = message.drop_hop_headers(self.headers)
+            headers = message.remove_hop_headers(self.headers)
             headers.pop("Content-Length", None)
             await self._exchange.start(self.status, headers, data)
             return
@@ -112,7 +115,7 @@
 
     async def send_buffered(self):
         """Send the buffered response to the caller."""
-        headers = message.drop_hop_headers(self.headers)
+        headers = message.remove_hop_headers(self.headers)
         body = b"".join(self.buffered)
         headers.pop("Content-Length", None)
         await self._exchange.answer(self.status, headers, body)
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -268,7 +268,7 @@
         assert (await submit(site, KEY)).status == 503
         assert "r2" not in server.runs
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_age_of_the_configuration_includes_suspension_of_the_host():
@@ -282,7 +282,7 @@
         feed.clock = lambda: clock() + 6.0
         assert (await send(site)).status == 503
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_long_poll_proves_freshness_as_of_its_request():
@@ -312,7 +312,7 @@
         gateway.authentication._is_cut_off = lambda: True
         assert not gateway.is_ready
 
-    run_with(check, revoke_s=5.0)
+    run_with(check, key_revocation_s=5.0)
 
 
 def test_keys_are_not_logged():
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -439,7 +439,7 @@
             time.monotonic(),
             True,
         )
-        gateway.store.reached_at = float("-inf")
+        gateway.store.last_contact_at = float("-inf")
         answer = await asyncio.wait_for(submit(site, make_body(2)), 5)
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) < 0.1
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -13,14 +13,14 @@
     def __init__(self):
         self.rejections_left = 0
         self.rejected_count = 0
-        self.reached_at = float("-inf")
+        self.last_contact_at = float("-inf")
 
     async def join(self, group, member, topic, lease_s, generation):
         if self.rejections_left > 0:
             self.rejections_left -= 1
             self.rejected_count += 1
             raise store.RejectedError("away")
-        return store.Dealt(1, frozenset({1, 2}))
+        return store.PartitionAssignment(1, frozenset({1, 2}))
 
 
 def run_rejected(get_peer_renewal, rejections_left, until):
@@ -80,7 +80,7 @@
     # Two renewals in a row get no answer, but reads do. The lease has been renewed, so
     # the items keep running.
     def get_peer_renewal(fake_store):
-        fake_store.reached_at = time.monotonic() + 60
+        fake_store.last_contact_at = time.monotonic() + 60
         return math.inf
 
     result = run_rejected(get_peer_renewal, 1000, is_rejected_often)
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -90,7 +90,7 @@
 
     @abc.abstractmethod
     async def on_headers(self, status, headers, answer):
-        """Handle the status, the headers and the `message.Answer` decoded from them."""
+        """Handle the status, the headers and the decoded `message.ResponseHeaders`."""
 
     @abc.abstractmethod
     async def on_chunk(self, chunk):
@@ -118,7 +118,7 @@
 
     Attributes:
         status: HTTP status, or 0 before the headers arrive.
-        answer: The decoded `message.Answer`, or None before the headers arrive.
+        answer: The decoded `message.ResponseHeaders`, None before the headers arrive.
         is_stray: Whether the response belongs to another request.
         is_finished: Whether the response has arrived completely.
         is_framed: Whether the end of the body is known without closing the connection.
@@ -137,22 +137,22 @@
         if 100 <= start_line.code < 200:
             return
         self.status = start_line.code
-        self.answer = message.decode_answer(start_line.code, headers)
+        self.answer = message.decode_response_headers(start_line.code, headers)
         self.is_framed = (
             "Content-Length" in headers
             or "Transfer-Encoding" in headers
             or start_line.code in (204, 304)
         )
         # Rejections may omit the request identifier.
-        is_unidentified = self.answer.not_run and not self.answer.request_id
+        is_unidentified = self.answer.not_executed and not self.answer.request_id
         self.is_stray = (
             self.answer.request_id != self._request_id and not is_unidentified
         )
-        if not self.is_stray and not self.answer.not_run:
+        if not self.is_stray and not self.answer.not_executed:
             await self._sink.on_headers(start_line.code, headers, self.answer)
 
     async def data_received(self, chunk):
-        if not self.is_stray and not self.answer.not_run:
+        if not self.is_stray and not self.answer.not_executed:
             await self._sink.on_chunk(chunk)
 
     def finish(self):
@@ -196,7 +196,7 @@
             reader.is_finished
             and reader.is_framed
             and not reader.is_stray
-            and not reader.answer.closing
+            and not reader.answer.closes_connection
             # After an early response the target still reads this request's body.
             and written.done()
             and not self.stream.closed()
@@ -213,17 +213,17 @@
             return Outcome(End.INCOMPLETE, "no_answer")
         if reader.is_stray:
             return Outcome(End.INCOMPLETE, "answer_to_another_request", reader.status)
-        if answer.misdirected:
+        if answer.is_misdirected:
             return Outcome(End.NOT_RUN, "misdirected", reader.status)
-        if answer.not_run:
+        if answer.not_executed:
             return Outcome(End.NOT_RUN, "target_refused", reader.status)
         if not reader.is_finished:
             return Outcome(End.INCOMPLETE, "cut_short", reader.status)
         if not reader.is_framed and self.stream.error is not None:
             return Outcome(End.INCOMPLETE, "reset", reader.status)
-        if not answer.signed:
+        if not answer.is_signed:
             return Outcome(End.INCOMPLETE, "unsigned", reader.status)
-        if answer.encoded:
+        if answer.has_encoding:
             return Outcome(End.INCOMPLETE, "encoded", reader.status)
         return Outcome(End.COMPLETE, "answered", reader.status)
 
