--- a/pimentowick/tests/pages.py
+++ b/pimentowick/tests/pages.py
@@ -1,4 +1,4 @@
-"""Runs the commands of a page as they are written."""
+"""Extracts the code blocks of documentation pages and runs them unchanged."""
 
 import os
 import pathlib
@@ -11,8 +11,8 @@
 SHELL_BLOCK = re.compile(r"^```sh\n(.*?)^```$", re.MULTILINE | re.DOTALL)
 PYTHON_BLOCK = re.compile(r"^```python\n(.*?)^```$", re.MULTILINE | re.DOTALL)
 TIMEOUT_S = 180
-# What a failed page leaves running is ended by the ids that the shell knows.
-HEAD = """set -Eeuo pipefail
+# Reports a failing command, and ends the background jobs when the script exits.
+SCRIPT_PREAMBLE = """set -Eeuo pipefail
 trap 'echo "Failed: $BASH_COMMAND"' ERR
 trap 'for id in $(jobs -p); do kill "$id"; done; wait' EXIT
 """
@@ -30,25 +30,25 @@
 
 
 def run_page(name, directory, **environment):
-    """Run all shell blocks of a page in one shell, and return its output."""
+    """Run all shell blocks of a page in one shell and return the output."""
     blocks = SHELL_BLOCK.findall(read_page(name))
     assert blocks
     script = directory / "page.sh"
-    script.write_text(HEAD + "\n".join(blocks), encoding="utf-8")
-    known = {
+    script.write_text(SCRIPT_PREAMBLE + "\n".join(blocks), encoding="utf-8")
+    inherited = {
         name: value
         for name, value in os.environ.items()
         if not name.startswith("PIMENTOWICK_")
     }
-    known["PATH"] = os.pathsep.join(
-        [str(pathlib.Path(sys.executable).parent), known["PATH"]]
+    inherited["PATH"] = os.pathsep.join(
+        [str(pathlib.Path(sys.executable).parent), inherited["PATH"]]
     )
-    known["PYTHONPATH"] = str(ROOT)
-    known["TMPDIR"] = str(directory)
+    inherited["PYTHONPATH"] = str(ROOT)
+    inherited["TMPDIR"] = str(directory)
     process = subprocess.Popen(
         ["bash", str(script)],
         cwd=ROOT,
-        env={**known, **environment},
+        env={**inherited, **environment},
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
@@ -64,12 +64,12 @@
 
 
 def run_python(script):
-    """Run a script in an interpreter of its own."""
-    done = subprocess.run(
+    """Run a Python script in a separate process."""
+    completed = subprocess.run(
         [sys.executable, str(script)],
         env={**os.environ, "PYTHONPATH": str(ROOT)},
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
--- a/pimentowick/tests/test_client.py
+++ b/pimentowick/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What the client says when an exchange fails, and what it leaves behind."""
+"""Errors of the HTTP client, and the state of its pool after a failed request."""
 
 import asyncio
 import contextlib
@@ -10,37 +10,42 @@
 from pimentowick import client as http_client
 from pimentowick import verdict
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-LINE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n"
-OLD_S = 2.3
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+LINE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n"
+REUSE_CHECK_S = 2.3
 
 
 class Peer:
-    """A server whose test decides what each connection does with each request."""
+    """A server that performs a list of actions, one for each request of a connection.
 
-    def __init__(self, *plan):
-        self.plan = plan
+    The last action is repeated for all further requests.
+    """
+
+    def __init__(self, *actions):
+        self.actions = actions
         self.requests = []
         self.closed = []
         self.opened = 0
 
     async def serve(self, reader, writer):
-        number = self.opened
+        connection_number = self.opened
         self.opened += 1
         served = 0
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 await reader.readuntil(b"\r\n\r\n")
-                self.requests.append(number)
-                action = self.plan[min(served, len(self.plan) - 1)]
+                self.requests.append(connection_number)
+                action = self.actions[min(served, len(self.actions) - 1)]
                 served += 1
                 if action == "close":
                     break
                 if action == "answer":
-                    writer.write(ANSWER)
-                if action == "answer_next_turns":
-                    asyncio.get_running_loop().call_later(0.01, writer.write, LINE)
-        self.closed.append(number)
+                    writer.write(RESPONSE)
+                if action == "answer_later":
+                    asyncio.get_running_loop().call_later(
+                        0.01, writer.write, LINE_RESPONSE
+                    )
+        self.closed.append(connection_number)
         writer.close()
 
     async def wait_for(self, predicate):
@@ -50,8 +55,8 @@
 
 
 @contextlib.asynccontextmanager
-async def start_peer(*plan, connections=4):
-    peer = Peer(*plan)
+async def start_peer(*actions, connections=4):
+    peer = Peer(*actions)
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     peer.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     client = http_client.Client(connections)
@@ -63,33 +68,33 @@
         server.close()
 
 
-async def fail(client, address, **fields):
+async def fetch_error(client, address, **fields):
     with pytest.raises(http_client.TransportError) as caught:
         await client.fetch("GET", address, "/", **fields)
     return caught.value
 
 
-def test_request_on_a_dead_pooled_connection_is_not_sent_again():
-    """A peer reads a request on a connection that was used before and then dies.
+def test_request_is_not_resent_when_a_pooled_connection_breaks():
+    """The peer reads a request on a reused connection and closes it unanswered.
 
-    libcurl by itself sends such a request again on a new connection; a call that
-    must not be repeated would run twice.
+    By default libcurl resends such a request on a new connection, so a call that is
+    not idempotent would run twice.
     """
 
     async def check():
         async with start_peer("answer", "close") as (peer, client):
             await client.fetch("GET", peer.address, "/")
-            error = await fail(client, peer.address)
+            error = await fetch_error(client, peer.address)
             assert error.verdict is verdict.Verdict.MAY_HAVE_RUN
             assert peer.requests == [0, 0]
 
     asyncio.run(check())
 
 
-def test_peer_that_takes_no_connection_ran_nothing():
-    """Nobody listens, or the listener's queue is full and connecting takes for ever.
+def test_failure_to_connect_has_verdict_not_run():
+    """No process listens, or the listen queue is full and connecting times out.
 
-    The caller should read that nothing ran, since it may then try anything again.
+    The request was never sent, so the caller may retry it even if it is not idempotent.
     """
 
     async def check():
@@ -97,15 +102,15 @@
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
                 address = f"127.0.0.1:{closed.getsockname()[1]}"
-                error = await fail(client, address)
+                error = await fetch_error(client, address)
                 assert error.verdict is verdict.Verdict.NOT_RUN
                 closed.listen(0)
                 with contextlib.ExitStack() as stack:
                     for _ in range(3):
-                        other = stack.enter_context(socket.socket())
-                        other.setblocking(False)
-                        other.connect_ex(closed.getsockname())
-                    error = await fail(client, address, timeout_s=0.5)
+                        pending_connection = stack.enter_context(socket.socket())
+                        pending_connection.setblocking(False)
+                        pending_connection.connect_ex(closed.getsockname())
+                    error = await fetch_error(client, address, timeout_s=0.5)
                 assert error.verdict is verdict.Verdict.NOT_RUN
             assert not peer.requests
 
@@ -114,41 +119,40 @@
 
 @pytest.mark.parametrize("kind", ["stream", "fetch"])
 def test_abandoned_request_frees_its_handle_and_connection(kind):
-    """Callers leave while the peer is silent, as many as the pool has handles.
+    """Callers abandon as many unanswered requests as the pool has connections.
 
-    Those who come next would wait in the pool, unseen by every queue that is
-    watched, until the abandoned requests reach their time limit.
+    Otherwise later requests would wait in the pool until the abandoned ones time out.
     """
 
     async def check():
         async with start_peer("hold", connections=1) as (peer, client):
             if kind == "stream":
                 stream = client.open_stream("GET", peer.address, "/", idle_s=60)
-                leave = stream.abort
+                cancel_request = stream.abort
             else:
                 task = asyncio.ensure_future(
                     client.fetch("GET", peer.address, "/", timeout_s=60)
                 )
-                leave = task.cancel
+                cancel_request = task.cancel
             await peer.wait_for(lambda: peer.requests)
-            leave()
-            following = client.open_stream("GET", peer.address, "/", idle_s=60)
+            cancel_request()
+            next_stream = client.open_stream("GET", peer.address, "/", idle_s=60)
             await peer.wait_for(lambda: len(peer.requests) == 2 and peer.closed)
             assert peer.closed == [0]
-            following.abort()
+            next_stream.abort()
 
     asyncio.run(check())
 
 
-def test_own_standstill_is_not_taken_for_silence_of_the_peer():
-    """The process that waits for a stream gets no processor time for a while.
+def test_stalled_event_loop_does_not_time_out_a_stream():
+    """The event loop is blocked for longer than the idle timeout of a stream.
 
-    When it runs again its timer is due, though the peer has answered or is about to.
-    Its caller would read that the target fell silent, and may not ask again.
+    When it continues, the timer has expired although the peer answers in time. A
+    timeout would be reported as MAY_HAVE_RUN, which the caller may not retry.
     """
 
     async def check():
-        async with start_peer("answer_next_turns") as (peer, client):
+        async with start_peer("answer_later") as (peer, client):
             stream = client.open_stream("GET", peer.address, "/", idle_s=0.8)
             reading = asyncio.ensure_future(stream.read_lines())
             await peer.wait_for(lambda: peer.requests)
@@ -158,8 +162,8 @@
     asyncio.run(check())
 
 
-def test_silence_of_the_peer_ends_a_stream():
-    """A peer takes a request and never answers; its caller must not wait for ever."""
+def test_stream_without_data_times_out():
+    """The peer accepts a request and never answers."""
 
     async def check():
         async with start_peer("hold") as (peer, client):
@@ -172,18 +176,17 @@
     asyncio.run(check())
 
 
-def test_request_that_waits_for_a_handle_ends_at_its_time_limit():
-    """All connections of a pool are in use and stay so.
+def test_request_queued_for_a_connection_times_out():
+    """All connections of the pool are in use and are not released.
 
-    A request that waits for one has a time limit like any other; its caller would
-    otherwise wait for as long as the others take.
+    The timeout of a request includes the time that it waits for a connection.
     """
 
     async def check():
         async with start_peer("hold", connections=1) as (peer, client):
             stream = client.open_stream("GET", peer.address, "/", idle_s=60)
             await peer.wait_for(lambda: peer.requests)
-            error = await fail(client, peer.address, timeout_s=0.1)
+            error = await fetch_error(client, peer.address, timeout_s=0.1)
             assert error.verdict is verdict.Verdict.NOT_RUN
             assert client.peak_waiting == 1
             stream.abort()
@@ -192,11 +195,11 @@
     asyncio.run(check())
 
 
-def test_connections_older_than_a_silent_one_are_not_used_again():
-    """Something between two hosts forgets all their open connections at once.
+def test_distrusted_connections_are_not_reused():
+    """A network device drops the state of all connections between two hosts.
 
-    One request finds out by its silence. Each of the others would find out at its
-    own cost if it took another one of the connections that were open then.
+    After the first timeout the client must not reuse any other connection that was
+    open at that time, since each would cost one more request its timeout.
     """
 
     async def check():
@@ -204,12 +207,12 @@
             fetches = [client.fetch("GET", peer.address, "/") for _ in range(3)]
             await asyncio.gather(*fetches)
             client.distrust(peer.address)
-            old = peer.opened
-            since = time.monotonic()
-            while time.monotonic() - since < OLD_S:
+            first_new_connection = peer.opened
+            started_at = time.monotonic()
+            while time.monotonic() - started_at < REUSE_CHECK_S:
                 count = len(peer.requests)
                 await client.fetch("GET", peer.address, "/")
-                assert min(peer.requests[count:]) >= old
+                assert min(peer.requests[count:]) >= first_new_connection
                 await asyncio.sleep(0.02)
 
     asyncio.run(check())
--- a/pimentowick/tests/test_fault_run.py
+++ b/pimentowick/tests/test_fault_run.py
@@ -1,4 +1,4 @@
-"""Random faults over the whole path, with fixed seeds."""
+"""Random faults in a whole deployment, with fixed seeds."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_promises_hold_under_random_faults(seed):
-    """Parts of the platform, targets, agents and entries fail one after the other.
+def test_guarantees_hold_under_random_faults(seed):
+    """Platform services, targets, agents and entries fail one after the other.
 
-    Whatever happens, answers are whole or marked as broken, refusals are true, calls
-    run at most once, and each item of the job has one right result.
+    Responses are complete or marked as incomplete, the verdicts of errors are correct,
+    calls run at most once, and each item of the job has one correct result.
     """
     report = asyncio.run(fault_run.run_faults(seed, rounds=4))
     assert report.whole
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -1,6 +1,6 @@
-"""What an online request waits for while batch work fills everything else.
+"""Online requests are not blocked by batch work ahead of them in any queue.
 
-Nothing is timed: whatever an online request could have waited in is counted.
+The tests count how often an online request is queued, and measure no times.
 """
 
 import asyncio
@@ -13,86 +13,88 @@
 from pimentowick.fakes import embedded, engine, faults
 
 ITEMS = 300
-CALLS = 60
-ONLINE_AT_ONCE = 4
-BATCH = "batch_"
-TARGET = {"max_online": ONLINE_AT_ONCE, "max_batch": 4}
+ONLINE_REQUESTS = 60
+ONLINE_CONCURRENCY = 4
+BATCH_ID_PREFIX = "batch_"
+TARGET_SETTINGS = {"max_online": ONLINE_CONCURRENCY, "max_batch": 4}
 BODY_BYTES = 16_000_000
 
 
-class WatchedEngine(engine.Engine):
-    """Counts the online requests that find all places taken."""
+class CountingEngine(engine.Engine):
+    """Counts the online requests that arrive when all slots are in use."""
 
-    blocked = 0
+    queued_online = 0
 
     def submit(self, stream):
-        full = len(self.running) >= self.max_running
-        if full and not stream.request_id.startswith(BATCH):
-            self.blocked += 1
+        is_full = len(self.running) >= self.max_running
+        if is_full and not stream.request_id.startswith(BATCH_ID_PREFIX):
+            self.queued_online += 1
         super().submit(stream)
 
 
-class Watch:
-    """Counts what online requests wait in, between caller and engine."""
+class WaitCounter:
+    """Counts how often online requests are queued between caller and engine."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.queued = 0
+        self.queued_at_agents = 0
         for agent in fleet.agents.values():
-            agent.admission._wait_online = self._wrap(agent.admission._wait_online)
+            agent.admission._wait_online = self._count_calls(
+                agent.admission._wait_online
+            )
 
-    def _wrap(self, wait):
+    def _count_calls(self, wait):
         async def wait_counted(*args):
-            self.queued += 1
+            self.queued_at_agents += 1
             await wait(*args)
 
         return wait_counted
 
     def count(self):
-        """Return how often an online request had to wait, by place."""
+        """Return the number of online requests that were queued, by queue."""
         entries = self.fleet.entries.values()
         return {
-            "handles of entries": sum(e._online_client.peak_waiting for e in entries),
-            "handles of agents": sum(
+            "entry connections": sum(e._online_client.peak_waiting for e in entries),
+            "agent connections": sum(
                 agent._client.peak_waiting for agent in self.fleet.agents.values()
             ),
-            "queues of agents": self.queued,
-            "places of engines": sum(
-                getattr(target, "blocked", 0) for target in self.fleet.targets.values()
+            "agent queues": self.queued_at_agents,
+            "engine slots": sum(
+                getattr(target, "queued_online", 0)
+                for target in self.fleet.targets.values()
             ),
         }
 
 
 async def start_engine(fleet):
-    target = WatchedEngine(models=[embedded.MODEL], base_step_ms=2, max_running=8)
+    target = CountingEngine(models=[embedded.MODEL], base_step_ms=2, max_running=8)
     await fleet.add_target("lm-0", "engine", embedded.MODEL, target)
     await fleet.wait_for(fleet.is_ready)
-    return target, Watch(fleet)
+    return target, WaitCounter(fleet)
 
 
-async def call_often(callers):
+async def send_online_requests(callers):
     async def call(number):
-        for index in range(CALLS // ONLINE_AT_ONCE):
+        for index in range(ONLINE_REQUESTS // ONLINE_CONCURRENCY):
             await callers.chat(f"{number}-{index}")
 
-    await asyncio.gather(*(call(number) for number in range(ONLINE_AT_ONCE)))
+    await asyncio.gather(*(call(number) for number in range(ONLINE_CONCURRENCY)))
 
 
-def check_nothing_waited(watch, callers):
-    assert not any(watch.count().values()), watch.count()
+def check_no_waits(wait_counter, callers):
+    assert not any(wait_counter.count().values()), wait_counter.count()
     assert all(outcome.whole for outcome in callers.outcomes)
 
 
 @pytest.mark.parametrize("stalled", [False, True])
-def test_online_requests_wait_for_no_batch_item(stalled):
-    """A job fills the only engine, and perhaps its streams stall and stay open.
+def test_online_requests_do_not_wait_for_batch_items(stalled):
+    """A job fills the batch slots of the only engine, in one case with stalled streams.
 
-    An exhibitor who asks something in that moment must not wait for any of it: not
-    for a connection, nor for a place in a queue or at the engine.
+    Online requests then wait for no connection, agent queue or engine slot.
     """
 
     async def check(fleet, callers):
-        target, watch = await start_engine(fleet)
+        target, wait_counter = await start_engine(fleet)
         answer = await fleet.submit(embedded.make_job_lines(ITEMS, 40), "k")
         await fleet.wait_for(lambda: len(target.running) >= 3)
         if stalled:
@@ -100,25 +102,25 @@
             order = faults.Order("stall", count=count, path="/generate")
             target.board.place(order)
             await fleet.wait_for(lambda: order not in target.board.orders)
-        await call_often(callers)
+        await send_online_requests(callers)
         job = await fleet.fetch("GET", f"/v1/batches/{answer.decode()['id']}")
         assert job.decode()["request_counts"]["pending"] > 0
-        check_nothing_waited(watch, callers)
+        check_no_waits(wait_counter, callers)
 
     run_check(check)
 
 
-def test_online_requests_wait_for_no_huge_body():
-    """A job whose body is near the limit is taken in while callers ask."""
+def test_online_requests_do_not_wait_for_large_bodies():
+    """A job whose body is close to the size limit is submitted during online load."""
 
     async def check(fleet, callers):
-        _, watch = await start_engine(fleet)
-        lines = make_long_lines(BODY_BYTES)
+        _, wait_counter = await start_engine(fleet)
+        lines = make_long_job_lines(BODY_BYTES)
         submitting = asyncio.ensure_future(fleet.submit(lines, "k", timeout_s=30))
         while not submitting.done():
-            await call_often(callers)
+            await send_online_requests(callers)
         assert submitting.result().status == 202
-        check_nothing_waited(watch, callers)
+        check_no_waits(wait_counter, callers)
 
     run_check(check, max_body_bytes=BODY_BYTES + 100_000)
 
@@ -128,11 +130,11 @@
         check,
         engines=0,
         entry_settings=entry_settings,
-        agent_settings={"target": TARGET},
+        agent_settings={"target": TARGET_SETTINGS},
     )
 
 
-def make_long_lines(size, line_bytes=200_000):
+def make_long_job_lines(size, line_bytes=200_000):
     rows = []
     for number in range(size // line_bytes):
         messages = [{"role": "user", "content": "x" * (line_bytes - 200)}]
@@ -141,41 +143,43 @@
     return b"\n".join(rows)
 
 
-class Workspace:
+class FakeWorkspace:
     class models:
         @staticmethod
         def get(name):
-            return Use
+            return FakeModelUse
 
 
-class Use:
+class FakeModelUse:
     adapters = ()
     max_tokens = 8
 
 
-def test_large_bodies_are_parsed_and_encoded_in_small_turns():
-    """A job has few lines, each of them long.
+def test_large_bodies_are_parsed_and_encoded_in_small_steps():
+    """A job has few, long lines.
 
-    Counting lines alone, all of them would be parsed in one turn of the loop, while
-    every online request of the entry waits.
+    Yielding to the event loop after a number of lines only would block the online
+    requests of the entry until all lines are parsed.
     """
 
-    async def count_turns(coroutine):
+    async def count_loop_iterations(coroutine):
         task = asyncio.ensure_future(coroutine)
-        turns = 0
+        iterations = 0
         while not task.done():
             await asyncio.sleep(0)
-            turns += 1
-        return turns, task.result()
+            iterations += 1
+        return iterations, task.result()
 
     async def check():
-        data = make_long_lines(BODY_BYTES)
-        least = BODY_BYTES // (2 * intake.TURN_BYTES)
-        turns, submission = await count_turns(intake.parse_items(data, Workspace))
-        assert turns >= least
-        turns, chunks = await count_turns(
+        data = make_long_job_lines(BODY_BYTES)
+        min_iterations = BODY_BYTES // (2 * intake.TURN_BYTES)
+        iterations, submission = await count_loop_iterations(
+            intake.parse_items(data, FakeWorkspace)
+        )
+        assert iterations >= min_iterations
+        iterations, chunks = await count_loop_iterations(
             intake.make_chunks("s", submission.items, 262_144)
         )
-        assert turns >= least and len(chunks) == len(submission.items)
+        assert iterations >= min_iterations and len(chunks) == len(submission.items)
 
     asyncio.run(check())
--- a/pimentowick/tests/test_metrics.py
+++ b/pimentowick/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics count decisions, name their units and bound their labels."""
+"""Values, units and label sets of the exported metrics."""
 
 import re
 
@@ -14,12 +14,14 @@
 
 async def read_metrics(fleet, address):
     answer = await fleet.client.fetch("GET", address, "/metrics")
-    found = {}
+    values_by_series = {}
     for line in answer.body.decode().splitlines():
         if not line.startswith("#") and line:
             name, labels, value = LINE.match(line).groups()
-            found[name, frozenset(LABEL.findall(labels or ""))] = float(value)
-    return found
+            values_by_series[name, frozenset(LABEL.findall(labels or ""))] = float(
+                value
+            )
+    return values_by_series
 
 
 def get(metrics, name, **labels):
@@ -37,36 +39,40 @@
 def test_decisions_are_counted():
     async def check(fleet):
         assert (await fleet.chat("hello")).status == 200
-        wrong = {"model": "x", "prompt": "hello"}
-        answer = await fleet.fetch("POST", "/v1/completions", wrong)
+        unknown_model_body = {"model": "x", "prompt": "hello"}
+        answer = await fleet.fetch("POST", "/v1/completions", unknown_model_body)
         assert answer.status == 404
         job = (await fleet.submit(embedded.make_job_lines(20), "k")).decode()
         await fleet.wait_for_job(job["id"])
         entry = await read_metrics(fleet, fleet.entries["entry-0"].address)
         assert get(entry, "entry_requests_total", outcome="answered") == 1
-        refused = {"code": "unknown_model", "verdict": "not_run"}
-        assert get(entry, "entry_refusals_total", **refused) == 1
+        refusal_labels = {"code": "unknown_model", "verdict": "not_run"}
+        assert get(entry, "entry_refusals_total", **refusal_labels) == 1
         assert get(entry, "entry_log_appends_total", outcome="done") > 0
         assert get(entry, "entry_configuration_version_offset") > 0
-        every = [await read_metrics(fleet, e.address) for e in fleet.entries.values()]
-        total = sum(get(m, "entry_items_total", outcome="succeeded") for m in every)
+        entry_metrics = [
+            await read_metrics(fleet, e.address) for e in fleet.entries.values()
+        ]
+        total = sum(
+            get(m, "entry_items_total", outcome="succeeded") for m in entry_metrics
+        )
         assert total == 20
-        assert sum(get(m, "entry_claims_total") for m in every) == 1
-        assert sum(get(m, "entry_owned_shards") for m in every) == 1
+        assert sum(get(m, "entry_claims_total") for m in entry_metrics) == 1
+        assert sum(get(m, "entry_owned_shards") for m in entry_metrics) == 1
         agents = [await read_metrics(fleet, a.address) for a in fleet.agents.values()]
         admitted = "agent_admitted_total"
         assert sum(get(m, admitted, priority="batch") for m in agents) == 20
         assert sum(get(m, admitted, priority="online") for m in agents) == 1
-        for metrics in [*every, *agents]:
+        for metrics in [*entry_metrics, *agents]:
             check_names(metrics)
 
     embedded.run(check)
 
 
-def test_labels_hold_no_workspace_job_or_request():
+def test_labels_contain_no_workspace_job_or_request():
     async def check(fleet):
-        for who in ("a", "b"):
-            token = fleet.tokens[who]
+        for workspace in ("a", "b"):
+            token = fleet.tokens[workspace]
             lines = embedded.make_job_lines(3)
             job = (await fleet.submit(lines, "key", token=token)).decode()["id"]
             await fleet.wait_for_job(job, token=token)
@@ -83,15 +89,15 @@
     embedded.run(check, entries=1)
 
 
-def test_records_of_an_ended_epoch_are_counted():
-    """An owner was paused, lost its shard and appends results afterwards.
+def test_records_of_a_stale_epoch_are_counted():
+    """A paused owner loses its shard and then appends results with its old epoch.
 
-    They are void. An operator sees from the count that it happens at all.
+    The results are discarded, and the metric shows operators how often this happens.
     """
-    book = ledger.Ledger()
-    book.apply(0, record.make_claim(1, "a", 0.0))
-    book.apply(1, record.make_claim(2, "b", 0.0))
-    book.apply(2, record.make_results(1, []))
-    book.apply(3, record.make_results(2, []))
-    assert book.fenced == 1
-    assert [note.accepted for note in book.notes] == [True, True]
+    shard_ledger = ledger.Ledger()
+    shard_ledger.apply(0, record.make_claim(1, "a", 0.0))
+    shard_ledger.apply(1, record.make_claim(2, "b", 0.0))
+    shard_ledger.apply(2, record.make_results(1, []))
+    shard_ledger.apply(3, record.make_results(2, []))
+    assert shard_ledger.fenced == 1
+    assert [note.accepted for note in shard_ledger.notes] == [True, True]
--- a/pimentowick/tests/test_pages.py
+++ b/pimentowick/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages of docs/: their commands run, and they leave nothing out."""
+"""The pages of docs/: their commands run, and their lists are complete."""
 
 import ast
 import asyncio
@@ -11,9 +11,9 @@
 from pimentowick.fakes import deployment
 from pimentowick.tests import pages
 
-# Neither is part of what a fleet answers with.
-OTHER_PARTS = {"cli", "fakes", "load", "tests"}
-CODE_ROW = re.compile(r"^\| `([a-z_]+)` \| (\d+|in results) \|", re.MULTILINE)
+# Folders whose code sends no responses to callers.
+NON_SERVING_FOLDERS = {"cli", "fakes", "load", "tests"}
+ERROR_ROW = re.compile(r"^\| `([a-z_]+)` \| (\d+|in results) \|", re.MULTILINE)
 
 
 def test_commands_of_the_operators_page_run_as_written(tmp_path):
@@ -64,16 +64,16 @@
         await fleet.close()
 
 
-def list_rules():
-    """Return handler classes by path pattern of an entry."""
+def list_handlers():
+    """Return the request handler classes of an entry by path pattern."""
     path = pages.ROOT / "deployments" / "bajio-entry.example.yaml"
     entry = daemon.Entry(settings.load_settings(settings.EntrySettings, path))
     rules = entry._make_application().wildcard_router.rules
     return {rule.matcher.regex.pattern.rstrip("$"): rule.target for rule in rules}
 
 
-def test_peer_paths_ask_for_a_certificate():
-    found = {path: each for path, each in list_rules().items() if "/peer/" in path}
+def test_peer_paths_require_a_certificate():
+    found = {path: each for path, each in list_handlers().items() if "/peer/" in path}
     assert found
     for path, each in found.items():
         assert issubclass(each, handler.PeerHandler), path
@@ -81,7 +81,7 @@
 
 def test_api_page_names_every_path():
     page = pages.read_page("API.md")
-    patterns = list_rules()
+    patterns = list_handlers()
     assert len(patterns) > 10
     for pattern in patterns:
         pattern = pattern.replace("(template|workspace|fleet)", "{kind}")
@@ -91,11 +91,13 @@
 
 
 def test_api_page_names_every_error_with_its_status():
-    rows = set(CODE_ROW.findall(pages.read_page("API.md")))
+    rows = set(ERROR_ROW.findall(pages.read_page("API.md")))
     found = set()
     for path in (pages.ROOT / "pimentowick").rglob("*.py"):
-        if OTHER_PARTS.isdisjoint(path.relative_to(pages.ROOT).parts):
-            found.update(find_codes(ast.parse(path.read_text(encoding="utf-8"))))
+        if NON_SERVING_FOLDERS.isdisjoint(path.relative_to(pages.ROOT).parts):
+            found.update(
+                find_refusal_codes(ast.parse(path.read_text(encoding="utf-8")))
+            )
     assert len(found) > 30
     assert found <= rows
     text = "".join(
@@ -104,12 +106,12 @@
         if "tests" not in path.parts
     )
     for code, _ in rows - found:
-        # Those whose kind is filled in, such as unknown_model.
+        # Codes with a placeholder, such as unknown_model, are built by an f-string.
         assert f'"{code}"' in text or 'f"unknown_{kind}"' in text
 
 
-def find_codes(tree):
-    """Return pairs of code and status of the refusals that a module writes out."""
+def find_refusal_codes(tree):
+    """Return pairs of code and status of the refusals constructed with literals."""
     found = set()
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call):
@@ -124,7 +126,7 @@
     return found
 
 
-def test_parts_of_the_library_page_run_without_the_daemons(tmp_path):
+def test_library_page_examples_do_not_import_the_daemons(tmp_path):
     blocks = pages.read_python("LIBRARY.md")
     assert len(blocks) >= 7
     for block in blocks:
--- a/pimentowick/tests/test_planned_stop.py
+++ b/pimentowick/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Targets that leave, and processes that are asked to stop."""
+"""Graceful shutdown of entries and agents, and draining of targets."""
 
 import asyncio
 import collections
@@ -24,8 +24,8 @@
 }
 
 
-class Deployed(embedded.Embedded):
-    """A deployment of separate processes, asked as an embedded one is."""
+class DeploymentAdapter(embedded.Embedded):
+    """A deployment of separate processes with the interface of an embedded one."""
 
     def __init__(self, processes):
         self.processes = processes
@@ -37,8 +37,8 @@
     def entries(self):
         return {each.name: each for each in self.processes.entries}
 
-    async def read_runs(self):
-        """Take the runs that the targets counted."""
+    async def update_run_counts(self):
+        """Read from the targets how often each request ran."""
         for name, each in self.processes.processes.items():
             if name.startswith((embedded.MODEL, embedded.SERVICE)):
                 answer = await self.client.fetch("GET", each.address, "/runs")
@@ -49,7 +49,7 @@
                 )
 
 
-def run_deployed(check):
+def run_with_processes(check):
     async def run():
         processes = deployment.Deployment(
             TOPOLOGY,
@@ -60,10 +60,10 @@
         try:
             await processes.start()
             await processes.publish()
-            fleet = Deployed(processes)
+            fleet = DeploymentAdapter(processes)
             callers = fake_callers.Callers(fleet)
             await check(fleet, callers)
-            await fleet.read_runs()
+            await fleet.update_run_counts()
             callers.check()
         finally:
             await processes.close()
@@ -72,11 +72,11 @@
 
 
 async def start_job(fleet):
-    """Submit a job and return its id once items of it run."""
+    """Submit a job and return its id once a target runs its items."""
     answer = await fleet.submit(embedded.make_job_lines(ITEMS, 60), "k")
 
     async def runs_items():
-        await fleet.read_runs()
+        await fleet.update_run_counts()
         return any(map(count_requests, fleet.targets.values()))
 
     await fleet.wait_for(runs_items)
@@ -88,26 +88,33 @@
     assert len(await fleet.read_results(job_id)) == ITEMS
 
 
-async def start_calls(fleet, callers, entry):
-    """Begin streams and calls, and return their tasks once all of them run."""
+async def start_requests(fleet, callers, entry):
+    """Start streams and calls, and return their tasks once all of them run."""
     streams = [callers.stream(f"s{i}", 300, entry) for i in range(6)]
-    held = {"hold_s": 1.5}
-    calls = [callers.confirm("c", held, entry=entry), callers.confirm(None, held)]
+    slow_call = {"hold_s": 1.5}
+    calls = [
+        callers.confirm("c", slow_call, entry=entry),
+        callers.confirm(None, slow_call),
+    ]
     tasks = [asyncio.ensure_future(each) for each in (*streams, *calls)]
 
     async def all_run():
-        await fleet.read_runs()
-        desk = fleet.targets[f"{embedded.SERVICE}-0"]
+        await fleet.update_run_counts()
+        service_target = fleet.targets[f"{embedded.SERVICE}-0"]
         streaming = [outcome for outcome in callers.outcomes if outcome.text]
-        return len(streaming) == len(streams) and len(desk.runs) == len(calls)
+        return len(streaming) == len(streams) and len(service_target.runs) == len(calls)
 
     await fleet.wait_for(all_run)
     assert not any(task.done() for task in tasks)
     return tasks
 
 
-async def call_until_refused(fleet, address):
-    """Go on calling a process that stops, and return what was answered, by code."""
+async def send_until_refused(fleet, address):
+    """Send requests to a stopping process until it refuses connections.
+
+    Returns:
+        Number of responses by HTTP status.
+    """
     headers = {"Authorization": f"Bearer {fleet.tokens['a']}"}
     body = {"model": embedded.MODEL, "prompt": "late", "max_tokens": 1}
     found = collections.Counter()
@@ -124,41 +131,40 @@
             assert answer.decode()["error"]["verdict"] == "not_run"
 
 
-class KeptConnection:
-    """A connection that its caller opened long ago and uses late."""
+class IdleConnection:
+    """A connection that is opened before the shutdown and first used during it."""
 
     async def open(self, address):
         host, _, port = address.rpartition(":")
         self.reader, self.writer = await asyncio.open_connection(host, int(port))
 
-    async def ask(self, token):
-        head = "GET /v1/models HTTP/1.1\r\nHost: entry\r\n"
-        head += f"Authorization: Bearer {token}\r\n\r\n"
-        self.writer.write(head.encode())
+    async def send_request(self, token):
+        request = "GET /v1/models HTTP/1.1\r\nHost: entry\r\n"
+        request += f"Authorization: Bearer {token}\r\n\r\n"
+        self.writer.write(request.encode())
         answer = await self.reader.read(65_536)
         self.writer.close()
         return answer
 
 
 @pytest.mark.parametrize("with_job", [False, True])
-def test_entry_that_is_told_to_stop_cuts_nothing(with_job):
-    """An entry gets SIGTERM amid streams, calls and perhaps a job that it owns.
+def test_stopping_entry_completes_work_in_flight(with_job):
+    """An entry gets SIGTERM while it serves streams and calls, and may own a job.
 
-    A caller would see an answer break off, or a confirmation without an outcome;
-    a job's user would wait until somebody notices that its owner is gone. Whoever
-    comes late, by a connection that was open already, reads that nothing ran.
+    Requests in flight complete, another entry takes over the job, and new requests,
+    also on connections that are already open, get the verdict not_run.
     """
 
     async def check(fleet, callers):
         address = fleet.entries["entry-0"].address
         job_id = await start_job(fleet) if with_job else None
-        kept = KeptConnection()
-        await kept.open(address)
-        tasks = await start_calls(fleet, callers, "entry-0")
-        late = asyncio.ensure_future(call_until_refused(fleet, address))
+        idle_connection = IdleConnection()
+        await idle_connection.open(address)
+        tasks = await start_requests(fleet, callers, "entry-0")
+        late_requests = asyncio.ensure_future(send_until_refused(fleet, address))
         stopping = asyncio.ensure_future(fleet.processes.stop("entry-0"))
-        assert set(await late) <= {200, 503}
-        answer = await kept.ask(fleet.tokens["a"])
+        assert set(await late_requests) <= {200, 503}
+        answer = await idle_connection.send_request(fleet.tokens["a"])
         assert b" 503 " in answer and b'"not_run"' in answer
         outcomes = await asyncio.gather(*tasks)
         assert all(outcome.whole for outcome in outcomes)
@@ -166,35 +172,33 @@
         if with_job:
             await check_job(fleet, job_id)
 
-    run_deployed(check)
+    run_with_processes(check)
 
 
-def test_agent_that_is_told_to_stop_cuts_nothing():
-    """The process beside an engine gets SIGTERM amid streams and batch items.
+def test_stopping_agent_completes_work_in_flight():
+    """An agent gets SIGTERM while its engine runs streams and batch items.
 
-    What it runs has to end there: a stream that were moved to another engine would
-    have been cut, even if its caller did not see it.
+    Online requests in flight complete on that engine and are not moved to another.
     """
 
     async def check(fleet, callers):
         job_id = await start_job(fleet)
-        tasks = await start_calls(fleet, callers, "entry-0")
+        tasks = await start_requests(fleet, callers, "entry-0")
         assert await fleet.processes.stop("agent-lm-0") == 0
         outcomes = await asyncio.gather(*tasks)
         assert all(outcome.whole for outcome in outcomes)
         await check_job(fleet, job_id)
-        await fleet.read_runs()
+        await fleet.update_run_counts()
         for outcome in outcomes:
             assert callers.count_runs(outcome.request_id) == 1
 
-    run_deployed(check)
+    run_with_processes(check)
 
 
-def test_stop_is_bounded():
-    """An engine never ends an answer, and an entry is told to stop.
+def test_drain_time_is_bounded():
+    """An engine never ends a stream, and its entry has to stop.
 
-    The host is taken away at some time whatever runs; the caller of the answer that
-    has to be cut must be able to see that it is not whole.
+    Draining ends after `drain_s`, and the caller can tell that the stream broke off.
     """
 
     async def check(fleet, callers):
@@ -214,12 +218,12 @@
 
 
 def count_requests(target):
-    # Not runs: an item that was preempted runs again where it is.
+    # Counts each request once: a preempted item runs again on the same target.
     return len(target.runs)
 
 
-def is_avoided(fleet, name):
-    """Return whether every entry knows that an agent takes no new work."""
+def is_excluded_everywhere(fleet, name):
+    """Return whether all entries exclude an agent from new work."""
     return not any(
         entry.fleet.is_usable(entry.fleet.peers[name])
         for entry in fleet.entries.values()
@@ -227,27 +231,27 @@
     )
 
 
-async def call_all_entries(fleet, callers):
+async def send_to_all_entries(fleet, callers):
     calls = [
         callers.chat(f"{name} {number}", entry=name)
         for name in fleet.entries
         for number in range(20)
     ]
     outcomes = await asyncio.gather(*calls)
-    broken = [(each.status, each.error) for each in outcomes if not each.whole]
-    assert broken == []
+    failed = [(each.status, each.error) for each in outcomes if not each.whole]
+    assert failed == []
 
 
-def test_target_that_the_host_list_calls_leaving_gets_no_new_work():
-    """The platform says that a host is about to go, and says so with a lag."""
+def test_target_listed_as_leaving_gets_no_new_work():
+    """The host list reports with a delay that a host is about to leave."""
 
     async def check(fleet, callers):
         agent = fleet.agents["agent-lm-0"]
         await fleet.list_host("agent-lm-0", "agent", agent.address, "leaving")
-        await fleet.wait_for(lambda: is_avoided(fleet, "agent-lm-0"))
+        await fleet.wait_for(lambda: is_excluded_everywhere(fleet, "agent-lm-0"))
         before = count_requests(fleet.targets["lm-0"])
         answer = await fleet.submit(embedded.make_job_lines(ITEMS), "k")
-        await call_all_entries(fleet, callers)
+        await send_to_all_entries(fleet, callers)
         await fleet.wait_for_job(answer.decode()["id"])
         assert count_requests(fleet.targets["lm-0"]) == before
 
@@ -256,10 +260,10 @@
 
 @pytest.mark.parametrize("down", ["hosts", "log"])
 def test_draining_target_gets_no_new_work_even_if_entries_missed_the_news(down):
-    """An agent drains, the host list or the log is down, and one entry hears nothing.
+    """An agent drains while the host list or the log is down and one entry is not told.
 
-    Work that reached the target now would be cut when it goes. The agent's own
-    refusal says that nothing ran, so that each request goes elsewhere unharmed.
+    The agent refuses requests of that entry with the verdict not_run, so that they are
+    retried on another target.
     """
 
     async def check(fleet, callers):
@@ -267,17 +271,17 @@
         target = fleet.targets["lm-0"]
         await fleet.wait_for(lambda: target.runs)
         agent = fleet.agents["agent-lm-0"]
-        faulty = getattr(fleet, down)
-        faulty.board.place(faults.Order("down"))
+        failing_service = getattr(fleet, down)
+        failing_service.board.place(faults.Order("down"))
         fleet.entries["entry-1"].fleet._supervisor.stop_child("agent-lm-0")
         draining = asyncio.ensure_future(agent.drain())
         await fleet.wait_for(lambda: agent.state == "draining")
         before = count_requests(target)
-        await call_all_entries(fleet, callers)
+        await send_to_all_entries(fleet, callers)
         assert await draining
         await fleet.crash("agent-lm-0")
-        await call_all_entries(fleet, callers)
-        faulty.board.place(faults.Order("clear"))
+        await send_to_all_entries(fleet, callers)
+        failing_service.board.place(faults.Order("clear"))
         await fleet.wait_for_job(answer.decode()["id"])
         assert count_requests(target) == before
 
--- a/pimentowick/tests/test_tls.py
+++ b/pimentowick/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Encryption: who is let in, and that nothing secret is written down."""
+"""TLS: which peers are accepted, and that no secrets are logged."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 from pimentowick.fakes import log as fake_log
 
 
-def make_certificate(directory, name, authority, address="127.0.0.1"):
-    made = authority.issue_cert(address, common_name=name)
-    made.private_key_pem.write_to_path(directory / f"{name}.key")
-    made.cert_chain_pems[0].write_to_path(directory / f"{name}.pem")
+def write_certificate(directory, name, authority, address="127.0.0.1"):
+    issued = authority.issue_cert(address, common_name=name)
+    issued.private_key_pem.write_to_path(directory / f"{name}.key")
+    issued.cert_chain_pems[0].write_to_path(directory / f"{name}.pem")
 
 
-def describe_files(directory, name, authority="fleet"):
+def make_tls_fields(directory, name, authority="fleet"):
     return {
         "certificate": str(directory / f"{name}.pem"),
         "key": str(directory / f"{name}.key"),
@@ -33,25 +33,25 @@
 
 
 @pytest.fixture(scope="module")
-def keys(tmp_path_factory):
+def certificate_dir(tmp_path_factory):
     directory = tmp_path_factory.mktemp("keys")
     fleet, other = trustme.CA(), trustme.CA()
     fleet.cert_pem.write_to_path(directory / "fleet.pem")
     other.cert_pem.write_to_path(directory / "other.pem")
-    make_certificate(directory, "host", fleet)
-    make_certificate(directory, "stranger", other)
-    make_certificate(directory, "elsewhere", fleet, "127.0.0.9")
+    write_certificate(directory, "host", fleet)
+    write_certificate(directory, "stranger", other)
+    write_certificate(directory, "elsewhere", fleet, "127.0.0.9")
     return directory
 
 
-def run(keys, check, **entry_settings):
+def run(certificate_dir, check, **entry_settings):
     async def run_check():
-        files = {"tls": describe_files(keys, "host")}
+        files = {"tls": make_tls_fields(certificate_dir, "host")}
         fleet = embedded.Embedded(
             entry_settings={**files, **entry_settings}, agent_settings=files
         )
         fleet.caller_client = http_client.Client(
-            tls=tls.ClientTls(str(keys / "fleet.pem"))
+            tls=tls.ClientTls(str(certificate_dir / "fleet.pem"))
         )
         try:
             await fleet.caller_client.start()
@@ -79,7 +79,7 @@
         await client.close()
 
 
-def test_work_and_its_logs_over_encrypted_connections(keys, tmp_path):
+def test_requests_over_tls_log_no_secrets(certificate_dir, tmp_path):
     tokens = []
 
     async def check(fleet):
@@ -88,45 +88,48 @@
         assert answer.status == 200
         job = (await fleet.submit(embedded.make_job_lines(20), "k")).decode()
         await fleet.wait_for_job(job["id"], entry="entry-1")
-        wrong = await fleet.fetch("GET", "/v1/models", token="no.secret-of-a-caller")
-        assert wrong.status == 401
-        asked = ["pimentowick", "fleet", "status", "--json"]
-        asked.append(f"--entry={fleet.entries['entry-0'].address}")
+        unauthorized = await fleet.fetch(
+            "GET", "/v1/models", token="no.secret-of-a-caller"
+        )
+        assert unauthorized.status == 401
+        arguments = ["pimentowick", "fleet", "status", "--json"]
+        arguments.append(f"--entry={fleet.entries['entry-0'].address}")
         (tmp_path / "token").write_text(fleet.operator_token)
-        asked.append(f"--token-file={tmp_path / 'token'}")
+        arguments.append(f"--token-file={tmp_path / 'token'}")
         output = buffered_output.BufferedOutput()
         codes = []
-        for more in ([], [f"--authority={keys / 'fleet.pem'}"]):
-            words = argv_input.ArgvInput([*asked, *more])
+        for options in ([], [f"--authority={certificate_dir / 'fleet.pem'}"]):
+            command_input = argv_input.ArgvInput([*arguments, *options])
             code = await asyncio.to_thread(
-                application.run_command, words, output, output
+                application.run_command, command_input, output, output
             )
             codes.append(code)
         assert codes == [4, 0]
 
-    log = run(keys, check)
+    log = run(certificate_dir, check)
     assert "listens" in log
     for secret in [*tokens, "no.secret-of-a-caller"]:
         assert secret.partition(".")[2] not in log
     assert "PRIVATE KEY" not in log
 
 
-def test_agents_and_peer_paths_let_only_peers_in(keys):
-    """Somebody in the network talks to an agent or to the entries' own paths.
+def test_agents_and_peer_paths_require_a_fleet_certificate(certificate_dir):
+    """Clients without a certificate of the fleet's authority call internal paths.
 
-    Without a certificate of the fleet's authority he could take work from targets
-    past all order, drain hosts or stop jobs. He is refused, with a certificate of
-    another authority, too.
+    They could otherwise send work to targets without admission control, drain hosts
+    or stop jobs. A certificate of another authority is not accepted either.
     """
 
     async def check(fleet):
-        caller = tls.ClientTls(str(keys / "fleet.pem"))
+        caller = tls.ClientTls(str(certificate_dir / "fleet.pem"))
         stranger = tls.ClientTls(
-            str(keys / "fleet.pem"),
-            str(keys / "stranger.pem"),
-            str(keys / "stranger.key"),
+            str(certificate_dir / "fleet.pem"),
+            str(certificate_dir / "stranger.pem"),
+            str(certificate_dir / "stranger.key"),
+        )
+        peer = tls.make_client_tls(
+            settings.TlsSettings(**make_tls_fields(certificate_dir, "host"))
         )
-        peer = tls.make_client_tls(settings.TlsSettings(**describe_files(keys, "host")))
         agent = fleet.agents["agent-lm-0"].address
         entry = fleet.entries["entry-0"].address
         for refused in (None, caller, stranger):
@@ -141,15 +144,16 @@
             answer = await fetch_with(caller, entry, path, method)
             assert answer.decode()["error"]["code"] == "no_certificate"
 
-    run(keys, check)
+    run(certificate_dir, check)
 
 
 @pytest.mark.parametrize("trusted", [[], ["127.0.0.1"]])
-def test_only_proxies_put_addresses_into_the_audit_trail(keys, trusted):
-    """A caller cancels a job and claims to ask from another address.
+def test_forwarded_address_is_audited_for_trusted_proxies_only(
+    certificate_dir, trusted
+):
+    """A caller cancels a job with a forged X-Forwarded-For header.
 
-    Were he believed, the trail would accuse whoever he likes. Only the platform's
-    balancer and other entries are believed.
+    The header is used only if the request comes from a trusted proxy.
     """
 
     async def check(fleet):
@@ -159,20 +163,20 @@
         headers = {"X-Forwarded-For": "192.0.2.7"}
         await fleet.fetch("POST", path, {}, headers=headers)
         trail = await fleet.fetch("GET", "/v1/audit?kind=cancel")
-        (note,) = trail.decode()["audit"]
-        assert note["client"] == ("192.0.2.7" if trusted else "127.0.0.1")
+        (event,) = trail.decode()["audit"]
+        assert event["client"] == ("192.0.2.7" if trusted else "127.0.0.1")
 
-    run(keys, check, trusted_proxies=trusted)
+    run(certificate_dir, check, trusted_proxies=trusted)
 
 
-def test_platform_may_be_encrypted_too(keys):
+def test_platform_connections_may_use_tls(certificate_dir):
     async def check():
-        files = describe_files(keys, "host")
+        files = make_tls_fields(certificate_dir, "host")
         context = tls.make_entry_context(settings.TlsSettings(**files))
-        stand_ins = (fake_log.Log(), fake_hosts.HostList())
+        fakes = (fake_log.Log(), fake_hosts.HostList())
         servers = [
             http_web.Server(each.make_application(), ssl_context=context)
-            for each in stand_ins
+            for each in fakes
         ]
         for server in servers:
             await server.start()
@@ -198,15 +202,14 @@
     asyncio.run(check())
 
 
-def test_server_must_hold_a_certificate_for_its_address(keys):
-    """A process at another address answers with a certificate of the fleet.
+def test_server_must_hold_a_certificate_for_its_address(certificate_dir):
+    """A server presents a certificate of the fleet that is for another address.
 
-    A caller that took it would hand its token to whoever took over the address.
-    Nothing is sent: the verdict is that the request did not run.
+    The client must not send its token to it; the verdict is not_run.
     """
 
     async def check():
-        files = describe_files(keys, "elsewhere")
+        files = make_tls_fields(certificate_dir, "elsewhere")
         fleet = embedded.Embedded(entries=1, engines=0, services=0)
         await fleet.log.start()
         await fleet.hosts.start()
@@ -214,7 +217,7 @@
         fleet._entry_settings["tls"] = files
         entry = await fleet.add_entry("entry-0")
         try:
-            caller = tls.ClientTls(str(keys / "fleet.pem"))
+            caller = tls.ClientTls(str(certificate_dir / "fleet.pem"))
             with pytest.raises(http_client.TransportError) as caught:
                 await fetch_with(caller, entry.address, "/health")
             assert caught.value.verdict == "not_run"
@@ -225,8 +228,8 @@
 
 
 @pytest.mark.parametrize("part", ["certificate", "key", "authority"])
-def test_wrong_files_are_named_before_anything_starts(keys, part):
-    files = describe_files(keys, "host")
-    files[part] = str(keys / "names")
+def test_invalid_tls_file_is_named_in_the_error(certificate_dir, part):
+    files = make_tls_fields(certificate_dir, "host")
+    files[part] = str(certificate_dir / "names")
     with pytest.raises(exception.SettingsError, match="names"):
         tls.make_client_tls(settings.TlsSettings(**files))
--- a/pimentowick/tests/test_whole_path.py
+++ b/pimentowick/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes, with what callers use."""
+"""End-to-end tests with separate processes and the OpenAI client library."""
 
 import asyncio
 import importlib.util
@@ -21,14 +21,13 @@
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_main_job_survives_the_death_of_an_agent(name):
-    """An agent is killed while it runs items of a job and online requests.
+def test_job_completes_when_an_agent_is_killed(name):
+    """An agent is killed while its target runs items of a job and online requests.
 
-    The user of the job would miss items or find some twice; callers would see
-    errors. Neither may happen.
+    No item is lost or completed twice, and no online request fails.
     """
-    faults = asyncio.run(load_demo().run(ROOT / "deployments" / f"{name}.yaml"))
-    assert faults == []
+    problems = asyncio.run(load_demo().run(ROOT / "deployments" / f"{name}.yaml"))
+    assert problems == []
 
 
 def test_stock_openai_client():
--- a/scripts/fault_run.py
+++ b/scripts/fault_run.py
@@ -1,4 +1,4 @@
-"""Put random faults into a deployment and check what must always hold.
+"""Inject random faults into a deployment and check its guarantees.
 
 Example: ``python scripts/fault_run.py --seed 7 --rounds 20``
 """
@@ -26,7 +26,7 @@
 
 
 def run():
-    """Run as the command line says."""
+    """Run with the options of the command line and print the report."""
     options = make_parser().parse_args()
     seed = random.randrange(MAX_SEED) if options.seed is None else options.seed
     logger.remove()
--- a/scripts/serve.py
+++ b/scripts/serve.py
@@ -11,13 +11,13 @@
 __all__ = ["serve"]
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
-ENVIRONMENT = "environment"
+ENVIRONMENT_FILE = "environment"
 
 
-def write_access(fleet, directory):
-    """Write how the fleet is reached, for ``. DIRECTORY/environment`` in a shell.
+def write_connection_files(fleet, directory):
+    """Write the tokens and a file of environment variables for a shell to source.
 
-    Tokens go into files that only their owner can read, not to the terminal.
+    Tokens are not printed but written to files that only their owner can read.
     """
     directory.mkdir(parents=True, exist_ok=True)
     directory = directory.resolve()
@@ -25,37 +25,37 @@
     for name, token in fleet.workspace_tokens.items():
         secret.write_secret(directory / f"{name}.token", token)
     entries = ",".join(entry.address for entry in fleet.entries)
-    part = directory / f"{ENVIRONMENT}.part"
-    part.write_text(
+    temporary = directory / f"{ENVIRONMENT_FILE}.part"
+    temporary.write_text(
         f"export PIMENTOWICK_ENTRIES={entries}\n"
         f"export PIMENTOWICK_TOKEN=$(cat '{directory}/operator.token')\n",
         encoding="utf-8",
     )
-    # Renamed at the end: whoever waits for the file finds all of it.
-    part.rename(directory / ENVIRONMENT)
+    # Renamed when complete, since scripts wait until the file exists.
+    temporary.rename(directory / ENVIRONMENT_FILE)
 
 
 async def serve(path, directory, empty):
-    """Start the deployment and print how to reach it.
+    """Start the deployment, print the addresses of its processes and wait for a signal.
 
     Args:
-        path: Path of the deployment's description.
-        directory: Where the tokens and the file ``environment`` go.
-        empty: Whether to leave template and workspaces to the operator.
+        path: Path of the deployment file.
+        directory: Directory for the tokens and the file ``environment``.
+        empty: Whether to publish no template and no workspaces.
     """
     fleet = deployment.Deployment(deployment.load_topology(path), log_level="INFO")
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     try:
         await fleet.start()
         if not empty:
             await fleet.publish()
         for name, process in fleet.processes.items():
             print(f"{name:<24} {process.address}")
-        write_access(fleet, directory)
-        print(f"In a shell: . {directory / ENVIRONMENT}", flush=True)
+        write_connection_files(fleet, directory)
+        print(f"In a shell: . {directory / ENVIRONMENT_FILE}", flush=True)
         await stopped.wait()
     finally:
         await fleet.close()
