--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, printed as tables; ratios are of one run."""
+"""Benchmarks that print tables; all ratios compare figures of the same run."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run all measurements, or those named: ``python -m benchmarks [NAME ...]``."""
+"""Run all benchmarks, or those named: ``python -m benchmarks [NAME ...]``."""
 
 import importlib
 import pkgutil
@@ -12,24 +12,24 @@
 
 
 def list_names():
-    """Return the names of the measurements: modules with a function `run`."""
-    found = [module.name for module in pkgutil.iter_modules(benchmarks.__path__)]
-    return sorted(n.removeprefix(PREFIX) for n in found if n.startswith(PREFIX))
+    """Return the names of the benchmarks: modules ``bench_NAME`` with a `run`."""
+    modules = [module.name for module in pkgutil.iter_modules(benchmarks.__path__)]
+    return sorted(n.removeprefix(PREFIX) for n in modules if n.startswith(PREFIX))
 
 
 def run(names):
-    """Run the measurements, and return the names of those that missed a bound."""
-    missed = []
+    """Run the benchmarks and return the names of those that missed a bound."""
+    missed_names = []
     for name in names or list_names():
         print(f"\n== {name}", flush=True)
         module = importlib.import_module(f"benchmarks.{PREFIX}{name}")
-        # A measurement returns False when one of its regression bounds is missed.
+        # A benchmark without regression bounds returns None.
         if module.run() is False:
-            missed.append(name)
-    return missed
+            missed_names.append(name)
+    return missed_names
 
 
 if __name__ == "__main__":
-    missed = run(sys.argv[1:])
-    print(f"\nBounds missed: {', '.join(missed) or 'none'}")
-    sys.exit(1 if missed else 0)
+    missed_names = run(sys.argv[1:])
+    print(f"\nBounds missed: {', '.join(missed_names) or 'none'}")
+    sys.exit(1 if missed_names else 0)
--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -1,4 +1,4 @@
-"""Slopes of the gateway: what a neighbour, a target, a route and an item cost."""
+"""Cost of operations of the gateway by numbers of targets, routes, items and others."""
 
 import os
 import time
@@ -30,21 +30,21 @@
 
 SIZES = (20, 80, 320)
 ROUNDS = 400
-MICROSECONDS = 1e6
+MICROSECONDS_PER_S = 1e6
 
 
-def _measure(function, rounds=ROUNDS):
-    """Return the processor time of a call, in microseconds: the best of five."""
+def _measure_call_us(function, rounds=ROUNDS):
+    """Return the processor time of a call in microseconds, the best of five runs."""
     best = float("inf")
     for _ in range(5):
-        began_at = time.process_time()
+        started_at = time.process_time()
         for _ in range(rounds):
             function()
-        best = min(best, time.process_time() - began_at)
-    return best / rounds * MICROSECONDS
+        best = min(best, time.process_time() - started_at)
+    return best / rounds * MICROSECONDS_PER_S
 
 
-def _make_table(count):
+def _make_target_table(count):
     table = target.TargetTable()
     for number in range(count):
         table.put(
@@ -54,9 +54,9 @@
 
 
 def _measure_datagram(targets):
-    """Return the cost of a datagram whose sender has work at so many targets."""
-    table = _make_table(targets)
-    found = neighbour.Neighbours(
+    """Return the cost of a datagram whose sender has requests at `targets` targets."""
+    table = _make_target_table(targets)
+    neighbours = neighbour.Neighbours(
         "me:1",
         report_relay.ReportRelay("me:1", "a", 1000.0),
         table,
@@ -67,19 +67,19 @@
     )
     numbers = iter(range(1, 1_000_000))
 
-    def take():
+    def receive_datagram():
         number = next(numbers)
         loads = {f"t{n}": (number % 3, 1) for n in range(targets)}
         data = {"from": "x:1", "number": number, "loads": loads}
         data |= {"waiting": {}, "pending": {}}
-        found.datagram_received(orjson.dumps(data), ("x", 1))
+        neighbours.datagram_received(orjson.dumps(data), ("x", 1))
 
-    return _measure(take)
+    return _measure_call_us(receive_datagram)
 
 
 def _measure_choice(targets):
-    served = _make_table(targets).list_targets("s")
-    return _measure(lambda: target_choice.choose_for_online(served, 0.0, "a"))
+    served = _make_target_table(targets).list_targets("s")
+    return _measure_call_us(lambda: target_choice.choose_for_online(served, 0.0, "a"))
 
 
 def _measure_route(count):
@@ -88,46 +88,46 @@
         for n in range(count)
     ]
     table = route.Configuration(1, routes)
-    return _measure(lambda: table.find(f"h{count - 1}", "/p/1"))
+    return _measure_call_us(lambda: table.find(f"h{count - 1}", "/p/1"))
 
 
 def _measure_key(count):
     keys = {workspace.Workspace(f"w{n}"): [f"{n:020}"] for n in range(count)}
-    found = workspace.Directory(keys)
-    return _measure(lambda: found.find("00000000000000000007"))
+    directory = workspace.Directory(keys)
+    return _measure_call_us(lambda: directory.find("00000000000000000007"))
 
 
 def _measure_quota(count):
-    """Return the cost of a take while so many workspaces are busy."""
+    """Return the cost of taking quota while `count` workspaces use theirs."""
     limit = quota.Limit(1e9, 1e9)
-    found = quota.SharedQuota()
-    found.update_member_counts(33, 33)
+    shared_quota = quota.SharedQuota()
+    shared_quota.update_member_counts(33, 33)
     for number in range(count):
-        found.take(f"w{number}", limit, 0.0)
-    return _measure(lambda: found.take("w7", limit, 0.1))
+        shared_quota.take(f"w{number}", limit, 0.0)
+    return _measure_call_us(lambda: shared_quota.take("w7", limit, 0.1))
 
 
 def _measure_report(count):
-    """Return the cost of a report that names so many workspaces."""
+    """Return the cost of merging a usage report on `count` workspaces."""
     limit = quota.Limit(1e9, 1e9)
-    found = quota.SharedQuota()
-    found.update_member_counts(33, 33)
+    shared_quota = quota.SharedQuota()
+    shared_quota.update_member_counts(33, 33)
     numbers = iter(range(1, 1_000_000))
 
-    def take():
+    def merge_report():
         rows = dict.fromkeys((f"w{n}" for n in range(count)), (0, next(numbers), 0))
-        found.merge_report("x:1", rows, lambda name: limit, 0.0)
+        shared_quota.merge_report("x:1", rows, lambda name: limit, 0.0)
 
-    return _measure(take)
+    return _measure_call_us(merge_report)
 
 
 def _measure_quota_memory(count):
     tracemalloc.start()
     limit = quota.Limit(5.0, 5.0)
-    found = quota.SharedQuota()
-    found.update_member_counts(33, 33)
+    shared_quota = quota.SharedQuota()
+    shared_quota.update_member_counts(33, 33)
     rows = {f"w{number}": (0, 1, 0) for number in range(count)}
-    found.merge_report("x:1", rows, lambda name: limit, 0.0)
+    shared_quota.merge_report("x:1", rows, lambda name: limit, 0.0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return size / 1024
@@ -135,13 +135,13 @@
 
 def _measure_events(count):
     data = b"".join(b"id: %d\ndata: some words\n\n" % n for n in range(count))
-    return _measure(lambda: event_stream.EventSplitter().feed(data), rounds=50)
+    return _measure_call_us(lambda: event_stream.EventSplitter().feed(data), rounds=50)
 
 
 def _measure_lines(count):
-    """Return the cost of so many lines of the log, as a request has them."""
-    with open(os.devnull, "w", encoding="utf-8") as outside:
-        decision_log.configure(descriptor=outside.fileno())
+    """Return the cost of logging `count` lines of a request."""
+    with open(os.devnull, "w", encoding="utf-8") as null_file:
+        decision_log.configure(descriptor=null_file.fileno())
 
         def write():
             for _ in range(count):
@@ -158,22 +158,22 @@
                     resumed_at=None,
                 )
 
-        # Few enough not to meet the bound on lines a second.
-        return _measure(
+        # All lines together stay below the rate limit of the log.
+        return _measure_call_us(
             write, rounds=max(1, decision_log.MAX_BURST_LINES // (8 * count))
         )
 
 
 def _measure_job_memory(items):
     tracemalloc.start()
-    book = job.JobTable()
-    made = [
+    job_table = job.JobTable()
+    job_items = [
         job.Item(f"i{n}", "/p", {}, 100, content.Reference(f"b/{n}/w", n, 1, 1000))
         for n in range(items)
     ]
-    row = record.make_job("j", "h", "/p", 0.0, made)
-    del made
-    book.apply_job(row.key, row.value)
+    row = record.make_job("j", "h", "/p", 0.0, job_items)
+    del job_items
+    job_table.apply_job(row.key, row.value)
     del row
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -181,7 +181,7 @@
 
 
 def run():
-    """Print the slopes."""
+    """Print costs by size and the lines fitted to them."""
     rows = [
         ("a datagram, by its sender's targets", "us", _measure_datagram),
         ("a choice of a target, by targets", "us", _measure_choice),
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -1,7 +1,7 @@
-"""The choice of a target: its cost, cache hits, balance, failing targets; plans.
+"""Choice of targets by the balancers, retries around failing targets, and plans.
 
-Engines are modelled as caches that drop the least recently used block; entries see
-their load half a second late. All ratios are of one run with fixed seeds.
+Engines are modelled as LRU caches of prompt blocks, and entries learn their load from
+reports every `REPORT_S`. All ratios compare figures of one run with fixed seeds.
 """
 
 import collections
@@ -20,36 +20,36 @@
 
 __all__ = ["run"]
 
-MOST_CHOICE_US = 100.0
-MOST_GROWTH = 2.0
-LEAST_HIT_GAIN = 1.2
-MOST_IMBALANCE = 1.9
-MOST_AMPLIFICATION = 1.10
-MOST_PLAN_GROWTH = 40.0
-PLANS = 5
+MAX_CHOICE_US = 100.0
+MAX_CHOICE_GROWTH = 2.0
+MIN_HIT_GAIN = 1.2
+MAX_IMBALANCE = 1.9
+MAX_AMPLIFICATION = 1.10
+MAX_PLAN_GROWTH = 40.0
+PLAN_REPETITIONS = 5
 
 DOMAINS = ("a", "b", "c")
 ENTRIES = 3
 TARGETS = 48
-PLACES = 32
+SLOTS = 32
 REQUESTS = 20_000
 ARRIVALS_PER_S = 400.0
 REPORT_S = 0.5
 CACHE_BLOCKS = 1200
-BLOCK = 64
+BLOCK_CHARS = 64
 STEP_S = 0.02
 STEPS = 40
 PREFILL_S_PER_BLOCK = 0.005
 CHOICES = 3000
 CALLS = 20_000
 CALLS_PER_S = 500.0
-ATTEMPTS = 3
-FAIL_S = 0.05
-WORK_S = 0.2
+MAX_ATTEMPTS = 3
+FAILED_CALL_S = 0.05
+SUCCESSFUL_CALL_S = 0.2
 
 
 class RandomBalancer(balance.Balancer):
-    """Any member; a baseline."""
+    """Baseline that chooses a random member."""
 
     def __init__(self, rng):
         self._rng = rng
@@ -60,7 +60,7 @@
 
 
 class LeastLoadedBalancer(balance.Balancer):
-    """The member with the least report; a baseline."""
+    """Baseline that chooses the member with the lowest reported load."""
 
     def choose(self, pool, prefix=(), excluded=frozenset(), now=None):
         """Return one of the members."""
@@ -68,16 +68,16 @@
 
 
 class RendezvousBalancer(balance.Balancer):
-    """The member with the highest weight for the first prefix; a baseline."""
+    """Baseline that chooses by rendezvous hashing of a prompt prefix."""
 
     def choose(self, pool, prefix=(), excluded=frozenset(), now=None):
         """Return one of the members."""
         key = prefix[min(2, len(prefix) - 1)]
-        return max(pool.members, key=lambda peer: _weigh(key, peer.name))
+        return max(pool.members, key=lambda peer: _compute_weight(key, peer.name))
 
 
 @functools.lru_cache(maxsize=1_000_000)
-def _weigh(key, name):
+def _compute_weight(key, name):
     return hashlib.blake2b(key + name.encode(), digest_size=8).digest()
 
 
@@ -91,34 +91,34 @@
     for index in range(count):
         domain = DOMAINS[index % len(DOMAINS)]
         host = hosts.Host(f"agent-{index}", "agent", "127.0.0.1:1", domain)
-        report = {"online": 0, "max_online": PLACES, "entries": ENTRIES}
+        report = {"online": 0, "max_online": SLOTS, "entries": ENTRIES}
         peers.append(membership_peer.Peer(host, report))
     return peers
 
 
 def make_pool(peers, seed):
     """Return a pool of `peers`."""
-    made = pool.Pool(random.Random(seed))
+    peer_pool = pool.Pool(random.Random(seed))
     for peer in peers:
-        made.add(peer)
-    return made
+        peer_pool.add(peer)
+    return peer_pool
 
 
-def make_near(index=0):
-    """Return the balancer for load alone of entry `index`."""
+def make_two_choice_balancer(index=0):
+    """Return the balancer of entry `index` that considers load but no prefixes."""
     return balance.TwoChoiceBalancer(DOMAINS[index % len(DOMAINS)], _is_usable)
 
 
 class Target:
-    """A modelled engine: places and a prefix cache."""
+    """A model of an engine with a prefix cache."""
 
     def __init__(self):
         self.running = 0
         self.served = 0
         self.cache = collections.OrderedDict()
 
-    def begin(self, blocks):
-        """Take a request; return how many blocks the cache had."""
+    def start_request(self, blocks):
+        """Start a request and return the number of its leading blocks in the cache."""
         self.running += 1
         self.served += 1
         hits = 0
@@ -136,14 +136,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """A prompt as the entry and the engine see it."""
+    """A prompt.
+
+    Attributes:
+        levels: Hashes of its prefixes, from which an entry chooses a target.
+        blocks: Keys of its blocks in the prefix cache of an engine.
+    """
 
     levels: tuple
     blocks: tuple
 
 
 def make_prompts(count, seed):
-    """Return prompts: a few system prompts, popular documents, own questions."""
+    """Return prompts of a system prompt, a popular document and a unique question."""
     rng = random.Random(seed)
     systems = [_make_text(rng, 1000) for _ in range(6)]
     documents = [systems[i % 6] + _make_text(rng, 2500) for i in range(600)]
@@ -151,9 +156,12 @@
     prompts = []
     for number in rng.choices(range(600), weights, k=count):
         text = documents[number] + _make_text(rng, 150)
-        blocks = [(number % 6, i) for i in range(1000 // BLOCK)]
-        blocks += [(number, "document", i) for i in range(1000 // BLOCK, 3500 // BLOCK)]
-        blocks += [(len(prompts), "question", i) for i in range(150 // BLOCK)]
+        blocks = [(number % 6, i) for i in range(1000 // BLOCK_CHARS)]
+        blocks += [
+            (number, "document", i)
+            for i in range(1000 // BLOCK_CHARS, 3500 // BLOCK_CHARS)
+        ]
+        blocks += [(len(prompts), "question", i) for i in range(150 // BLOCK_CHARS)]
         prompts.append(Prompt(prefix.hash_prefixes(text, "lm"), tuple(blocks)))
     return prompts
 
@@ -163,7 +171,7 @@
 
 
 class Cluster:
-    """Modelled targets under the choices of a few entries."""
+    """Modelled targets that receive requests from a few entries."""
 
     def __init__(self, make_balancer):
         self.targets = {f"agent-{i}": Target() for i in range(TARGETS)}
@@ -172,177 +180,188 @@
         self.balancers = [make_balancer(i) for i in range(ENTRIES)]
         self.blocks = 0
         self.hits = 0
-        self.ratios = []
+        self.imbalances = []
 
     def replay(self, prompts, seed):
-        """Send the prompts at random times; `hits`, `ratios` are then filled in."""
+        """Send the prompts at random times, and update `hits` and `imbalances`."""
         rng = random.Random(seed)
         now = 0.0
-        ends = []
-        next_report = 0.0
+        completions = []
+        next_report_at = 0.0
         for number, prompt in enumerate(prompts):
             now += rng.expovariate(ARRIVALS_PER_S)
-            while ends and ends[0][0] <= now:
-                _, _, peer = heapq.heappop(ends)
+            while completions and completions[0][0] <= now:
+                _, _, peer = heapq.heappop(completions)
                 peer.online -= 1
                 self.targets[peer.name].running -= 1
-            if now >= next_report:
-                self._report()
-                next_report = now + REPORT_S
+            if now >= next_report_at:
+                self._update_reports()
+                next_report_at = now + REPORT_S
             index = rng.randrange(ENTRIES)
             peer = self.balancers[index].choose(
                 self.pools[index], prompt.levels, now=now
             )
-            duration = self._begin(peer, prompt)
-            heapq.heappush(ends, (now + duration, number, peer))
+            duration = self._start_request(peer, prompt)
+            heapq.heappush(completions, (now + duration, number, peer))
 
-    def _begin(self, peer, prompt):
+    def _start_request(self, peer, prompt):
         target = self.targets[peer.name]
-        hits = target.begin(prompt.blocks)
+        hits = target.start_request(prompt.blocks)
         peer.online += 1
         self.hits += hits
         self.blocks += len(prompt.blocks)
         steps = STEPS * STEP_S * (1 + 0.02 * target.running)
-        queue = max(1.0, target.running / PLACES)
+        overload = max(1.0, target.running / SLOTS)
         missed = len(prompt.blocks) - hits
-        return steps * queue + missed * PREFILL_S_PER_BLOCK
+        return steps * overload + missed * PREFILL_S_PER_BLOCK
 
-    def _report(self):
+    def _update_reports(self):
         running = [target.running for target in self.targets.values()]
         if sum(running) > TARGETS:
-            self.ratios.append(max(running) * TARGETS / sum(running))
-        for peers, each_pool in zip(self.peers, self.pools, strict=True):
+            self.imbalances.append(max(running) * TARGETS / sum(running))
+        for peers, peer_pool in zip(self.peers, self.pools, strict=True):
             for peer in peers:
                 online = self.targets[peer.name].running
                 peer.report = {**peer.report, "online": online}
                 peer.online_at_report = peer.online
-                each_pool.add(peer)
+                peer_pool.add(peer)
 
 
 def measure_choice(count):
-    """Return microseconds for one choice among `count` targets, hashing included."""
+    """Return microseconds of one choice among `count` targets, hashing included."""
     peers = make_peers(count)
-    made = make_pool(peers, 3)
-    chooser = affinity.AffinityBalancer(make_near())
+    peer_pool = make_pool(peers, 3)
+    balancer = affinity.AffinityBalancer(make_two_choice_balancer())
     rng = random.Random(5)
-    heads = [_make_text(rng, 3500) for _ in range(200)]
-    texts = [rng.choice(heads) + _make_text(rng, 150) for _ in range(CHOICES)]
-    began = time.perf_counter()
+    shared_prefixes = [_make_text(rng, 3500) for _ in range(200)]
+    texts = [rng.choice(shared_prefixes) + _make_text(rng, 150) for _ in range(CHOICES)]
+    started_at = time.perf_counter()
     for text in texts:
-        chooser.choose(made, prefix.hash_prefixes(text, "lm"))
-    return (time.perf_counter() - began) / CHOICES * 1e6
+        balancer.choose(peer_pool, prefix.hash_prefixes(text, "lm"))
+    return (time.perf_counter() - started_at) / CHOICES * 1e6
 
 
 def measure_policies(prompts):
-    """Return (name, hit share, p95 of max/mean in flight) for each policy."""
+    """Return name, cache hit ratio and p95 of max/mean requests in flight by policy."""
     makers = {
         "random": lambda i: RandomBalancer(random.Random(11 + i)),
         "least loaded": lambda i: LeastLoadedBalancer(),
-        "two choices": make_near,
+        "two choices": make_two_choice_balancer,
         "rendezvous": lambda i: RendezvousBalancer(),
-        "affinity": lambda i: affinity.AffinityBalancer(make_near(i)),
+        "affinity": lambda i: affinity.AffinityBalancer(make_two_choice_balancer(i)),
     }
     rows = []
     for name, make_balancer in makers.items():
         cluster = Cluster(make_balancer)
         cluster.replay(prompts, 13)
-        ratios = sorted(cluster.ratios)
-        imbalance = ratios[int(len(ratios) * 0.95)]
+        imbalances = sorted(cluster.imbalances)
+        imbalance = imbalances[int(len(imbalances) * 0.95)]
         rows.append((name, cluster.hits / cluster.blocks, imbalance))
     return rows
 
 
 def measure_failures(targets, seed=17, calls=CALLS):
-    """Return (calls per request, share of failed requests) with a third failing."""
-    known = fleet.Fleet(None, None, None, "bench", None)
+    """Return attempts per request and the share of requests that fail.
+
+    A third of the targets fails every call.
+    """
+    peer_fleet = fleet.Fleet(None, None, None, "bench", None)
     peers = make_peers(targets)
-    chooser = balance.TwoChoiceBalancer(DOMAINS[0], _is_usable)
-    made = make_pool(peers, seed)
+    balancer = balance.TwoChoiceBalancer(DOMAINS[0], _is_usable)
+    peer_pool = make_pool(peers, seed)
     rng = random.Random(seed)
     failing = set(rng.sample([peer.name for peer in peers], targets // 3))
     budget = retry.RetryBudget(0.1)
-    sent = refused = 0
+    sent = failed_requests = 0
     now = 0.0
-    ends = []
+    completions = []
     queue = [(i / CALLS_PER_S, i, 1, frozenset()) for i in range(calls)]
     while queue:
         now, number, attempt, excluded = heapq.heappop(queue)
-        while ends and ends[0][0] <= now:
-            _, _, peer = heapq.heappop(ends)
+        while completions and completions[0][0] <= now:
+            _, _, peer = heapq.heappop(completions)
             peer.online -= 1
-            _note_end(known, made, peer, peer.name in failing, now)
+            _record_outcome(peer_fleet, peer_pool, peer, peer.name in failing, now)
         if attempt == 1:
             budget.record_request()
-        peer = chooser.choose(made, (), excluded, now)
+        peer = balancer.choose(peer_pool, (), excluded, now)
         sent += 1
         peer.online += 1
         fails = peer.name in failing
-        heapq.heappush(ends, (now + (FAIL_S if fails else WORK_S), sent, peer))
+        heapq.heappush(
+            completions,
+            (now + (FAILED_CALL_S if fails else SUCCESSFUL_CALL_S), sent, peer),
+        )
         if not fails:
             continue
-        if attempt == ATTEMPTS or not budget.take():
-            refused += 1
+        if attempt == MAX_ATTEMPTS or not budget.take():
+            failed_requests += 1
             continue
-        entry = (now + FAIL_S, number, attempt + 1, excluded | {peer.name})
-        heapq.heappush(queue, entry)
-    return sent / calls, refused / calls
+        next_attempt = (
+            now + FAILED_CALL_S,
+            number,
+            attempt + 1,
+            excluded | {peer.name},
+        )
+        heapq.heappush(queue, next_attempt)
+    return sent / calls, failed_requests / calls
 
 
-def _note_end(known, made, peer, failed, now):
+def _record_outcome(peer_fleet, peer_pool, peer, failed, now):
     if failed:
-        known.eject([made], peer, now)
+        peer_fleet.eject([peer_pool], peer, now)
     else:
-        known.record_success(peer)
+        peer_fleet.record_success(peer)
 
 
 def measure_plan(count, slots):
-    """Return milliseconds for one plan of `count` engines and 20 models.
+    """Return milliseconds of one plan for `count` engines and 20 models.
 
-    With one slot for each engine and every model short of replicas, there is the
-    most to look for and nothing to find.
+    Every model has too few replicas. With one slot per engine all slots are taken, so
+    the planner finds no engine for any model.
     """
     rng = random.Random(19)
-    held = [f"m{rng.randrange(20)}" for _ in range(count)]
+    loaded_models = [f"m{rng.randrange(20)}" for _ in range(count)]
     engines = [
         plan.Engine(f"agent-{i}", DOMAINS[i % len(DOMAINS)], {model}, slots=slots)
-        for i, model in enumerate(held)
+        for i, model in enumerate(loaded_models)
     ]
-    wanted = [plan.Wanted(f"m{i}", "", count // 10) for i in range(20)]
-    began = time.perf_counter()
-    plan.make_plan(wanted, engines, 2)
-    return (time.perf_counter() - began) * 1e3
+    desired = [plan.Wanted(f"m{i}", "", count // 10) for i in range(20)]
+    started_at = time.perf_counter()
+    plan.make_plan(desired, engines, 2)
+    return (time.perf_counter() - started_at) * 1e3
 
 
 def run():
-    """Print the measurements; return False when a bound is missed."""
-    good = True
+    """Print the measurements, and return whether the bounds hold."""
+    passed = True
     costs = {count: measure_choice(count) for count in (10, 100, 1900)}
     for count, cost in costs.items():
         print(f"one choice among {count:5} targets: {cost:7.1f} us")
-    good &= costs[1900] < MOST_CHOICE_US
-    good &= costs[1900] < MOST_GROWTH * costs[100]
+    passed &= costs[1900] < MAX_CHOICE_US
+    passed &= costs[1900] < MAX_CHOICE_GROWTH * costs[100]
 
     rows = measure_policies(make_prompts(REQUESTS, 1))
     print(f"\n{'policy':14} {'hits':>6} {'max/mean in flight, p95':>24}")
     for name, hits, imbalance in rows:
         print(f"{name:14} {hits:6.3f} {imbalance:24.2f}")
-    found = {name: (hits, imbalance) for name, hits, imbalance in rows}
-    good &= found["affinity"][0] > LEAST_HIT_GAIN * found["two choices"][0]
-    good &= found["affinity"][0] > found["rendezvous"][0]
-    good &= found["affinity"][1] < MOST_IMBALANCE
+    by_policy = {name: (hits, imbalance) for name, hits, imbalance in rows}
+    passed &= by_policy["affinity"][0] > MIN_HIT_GAIN * by_policy["two choices"][0]
+    passed &= by_policy["affinity"][0] > by_policy["rendezvous"][0]
+    passed &= by_policy["affinity"][1] < MAX_IMBALANCE
 
     print(f"\n{'targets':>8} {'calls/request':>14} {'refused':>8}  (a third fails)")
     for targets in (6, 30, 300, 1900):
-        amplification, refused = measure_failures(targets)
-        print(f"{targets:8} {amplification:14.3f} {refused:8.4f}")
-        good &= amplification < MOST_AMPLIFICATION
+        amplification, failed_share = measure_failures(targets)
+        print(f"{targets:8} {amplification:14.3f} {failed_share:8.4f}")
+        passed &= amplification < MAX_AMPLIFICATION
 
     for slots in (1, 2):
         times = [
-            min(measure_plan(count, slots) for _ in range(PLANS))
+            min(measure_plan(count, slots) for _ in range(PLAN_REPETITIONS))
             for count in (100, 1900)
         ]
         print(f"one plan with {slots} slots, 100 and 1900 engines: ", end="")
         print(" ".join(f"{each:.1f} ms" for each in times))
-        good &= times[1] < MOST_PLAN_GROWTH * times[0]
-    return bool(good)
+        passed &= times[1] < MAX_PLAN_GROWTH * times[0]
+    return bool(passed)
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -1,4 +1,4 @@
-"""Control traffic of one entry: heartbeats, the host list, idle reads of the log."""
+"""Cost of an idle entry: heartbeats, host list polls and reads of the log."""
 
 import contextlib
 import dataclasses
@@ -12,17 +12,17 @@
 
 __all__ = ["Window", "measure_control"]
 
-HELPER = capacity_platform.__name__
-SERVICES = 14
-DOMAINS = 15
+HELPER_MODULE = capacity_platform.__name__
+SERVICE_COUNT = 14
+DOMAIN_COUNT = 15
 SETTLE_S = 3.0
 WINDOW_S = 8.0
-SEEN_TIMEOUT_S = 60.0
+FIRST_HEARTBEATS_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """What one idle entry did in a second, on average over some seconds.
+    """Rates per second of one idle entry, averaged over a measurement window.
 
     Attributes:
         cpu: Processor time of the entry, as a share of a core.
@@ -45,13 +45,13 @@
     host_bytes: float
 
 
-class Scene:
-    """A platform and agents as helper processes, and one real entry.
+class EntryDeployment:
+    """One entry with a platform and agents in helper processes.
 
     Args:
-        agents: Number of agents on the host list. They share the addresses of
-            one real agent for each service.
-        entries: Number of entries on the host list, besides the real one.
+        agents: Number of agents on the host list. All agents of a service share the
+            address of one process.
+        entries: Number of entries on the host list, of which one runs.
         settings: Settings of the entry that differ from the defaults.
     """
 
@@ -63,18 +63,22 @@
         self.client = http_client.Client(16)
 
     async def start(self, records=()):
-        """Start everything; `records` are the configuration in the log."""
+        """Start all processes; `records` are written to the configuration stream."""
         await self.client.start()
-        self.platform = self._start([f"{HELPER}", "platform"])
-        self.helper = self._start([f"{HELPER}", "agents", str(SERVICES)])
-        counts = await self.read_counts(self.platform)
+        self.platform_process = self._start_child([f"{HELPER_MODULE}", "platform"])
+        self.agents_process = self._start_child(
+            [f"{HELPER_MODULE}", "agents", str(SERVICE_COUNT)]
+        )
+        counts = await self.read_counts(self.platform_process)
         for start in range(0, len(records), 100):
             body = {"records": records[start : start + 100]}
-            await self._send(
+            await self._fetch_json(
                 "POST", counts["log"], "/streams/configuration/records", body
             )
-        self.preloaded = (await self.read_counts(self.platform))["log_bytes"]
-        await self._list_hosts(counts["hosts"])
+        self.preloaded_bytes = (await self.read_counts(self.platform_process))[
+            "log_bytes"
+        ]
+        await self._register_hosts(counts["hosts"])
         token, operator = tokens.make_token("bench")
         self.token = token
         settings = {
@@ -84,11 +88,11 @@
             "operators": [operator.to_dict()],
             **self._settings,
         }
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.entry = cost_process.start_daemon("entry", settings)
         self._stack.callback(self.entry.close)
 
-    def _start(self, arguments):
+    def _start_child(self, arguments):
         child = cost_process.Child(["-m", *arguments])
         self._stack.callback(child.close)
         return child
@@ -98,62 +102,71 @@
         self._stack.close()
         await self.client.close()
 
-    async def _send(self, method, address, path, body=None, **fields):
+    async def _fetch_json(self, method, address, path, body=None, **fields):
         answer = await self.client.fetch(
             method, address, path, body, timeout_s=20, **fields
         )
         return orjson.loads(answer.body)
 
     async def read_counts(self, child):
-        """Return what a helper process counted."""
-        return await self._send("GET", child.address, "/counts")
+        """Return the counters of a helper process."""
+        return await self._fetch_json("GET", child.address, "/counts")
 
-    async def _list_hosts(self, address):
-        found = (await self.read_counts(self.helper))["addresses"]
+    async def _register_hosts(self, address):
+        addresses = (await self.read_counts(self.agents_process))["addresses"]
         for number in range(self._agents):
-            # Steps of 14 and of 15 meet all pairs of service and failure domain.
-            await self._list_host(
-                address, f"agent-{number}", "agent", found[number % SERVICES], number
+            # 14 and 15 are coprime, so all pairs of service and domain occur.
+            await self._register_host(
+                address,
+                f"agent-{number}",
+                "agent",
+                addresses[number % SERVICE_COUNT],
+                number,
             )
-        # The first one is the entry itself: it tells its version to entry hosts alone.
+        # The entry answers /peer/version only to addresses of listed entries.
         for number in range(self._entries):
-            await self._list_host(
+            await self._register_host(
                 address, f"entry-{number}", "entry", "127.0.0.1:1", number
             )
 
-    async def _list_host(self, address, name, role, host_address, number):
+    async def _register_host(self, address, name, role, host_address, number):
         fields = {
             "role": role,
             "address": host_address,
-            "failure_domain": f"d{number % DOMAINS}",
+            "failure_domain": f"d{number % DOMAIN_COUNT}",
             "state": "live",
         }
-        await self._send("PUT", address, f"/hosts/{name}", fields)
+        await self._fetch_json("PUT", address, f"/hosts/{name}", fields)
 
     async def wait_until_ready(self, version):
-        """Wait until the entry has a version in force, and return the seconds."""
+        """Wait until the entry applied a version; return seconds since its start."""
         while True:
-            answer = await self._send("GET", self.entry.address, "/peer/version")
+            answer = await self._fetch_json("GET", self.entry.address, "/peer/version")
             if answer.get("version", -1) >= version:
-                return time.monotonic() - self.began
+                return time.monotonic() - self.started_at
             time.sleep(0.02)
 
-    async def wait_for_survey(self):
-        """Wait until every agent was asked, and return how long that took."""
-        while (await self.read_counts(self.helper))["heartbeats"] < self._agents:
-            if time.monotonic() - self.began > SEEN_TIMEOUT_S:
-                raise TimeoutError("The entry did not ask all agents.")
+    async def wait_for_first_heartbeats(self):
+        """Wait until each agent got a heartbeat; return seconds since the start."""
+        while (await self.read_counts(self.agents_process))[
+            "heartbeats"
+        ] < self._agents:
+            if time.monotonic() - self.started_at > FIRST_HEARTBEATS_TIMEOUT_S:
+                raise TimeoutError(
+                    f"The entry did not send heartbeats to all {self._agents} agents "
+                    f"within {FIRST_HEARTBEATS_TIMEOUT_S:g} s."
+                )
             time.sleep(0.1)
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
-    async def measure(self):
-        """Return the `Window` of an idle entry."""
+    async def measure_idle_usage(self):
+        """Return the `Window` of the entry while it is idle."""
         time.sleep(SETTLE_S)
         before = await self._sample()
         time.sleep(WINDOW_S)
         after = await self._sample()
-        passed = after["at"] - before["at"]
-        rates = {name: (after[name] - before[name]) / passed for name in before}
+        elapsed_s = after["at"] - before["at"]
+        rates = {name: (after[name] - before[name]) / elapsed_s for name in before}
         return Window(
             cpu=rates["cpu"],
             agent_cpu=rates["agent_cpu"],
@@ -166,29 +179,36 @@
         )
 
     async def _sample(self):
-        platform = await self.read_counts(self.platform)
-        agents = await self.read_counts(self.helper)
-        counted = {**platform, **agents}
-        sample = {k: v for k, v in counted.items() if isinstance(v, int | float)}
+        platform_counts = await self.read_counts(self.platform_process)
+        agent_counts = await self.read_counts(self.agents_process)
+        counts = {**platform_counts, **agent_counts}
+        sample = {k: v for k, v in counts.items() if isinstance(v, int | float)}
         sample["at"] = time.monotonic()
         sample["cpu"] = self.entry.read_cpu()
-        sample["agent_cpu"] = self.helper.read_cpu()
+        sample["agent_cpu"] = self.agents_process.read_cpu()
         return sample
 
 
-async def measure_scene(agents, entries, **settings):
-    """Return the `Window` of one entry, and the seconds that the survey took."""
-    scene = Scene(agents, entries, settings)
+async def measure_deployment(agents, entries, **settings):
+    """Measure one entry.
+
+    Returns:
+        Its `Window`, and the seconds from its start until it had sent a heartbeat to
+        each agent.
+    """
+    deployment = EntryDeployment(agents, entries, settings)
     try:
-        await scene.start()
-        survey_s = await scene.wait_for_survey() if agents else 0.0
-        return await scene.measure(), survey_s
+        await deployment.start()
+        first_heartbeats_s = (
+            await deployment.wait_for_first_heartbeats() if agents else 0.0
+        )
+        return await deployment.measure_idle_usage(), first_heartbeats_s
     finally:
-        await scene.close()
+        await deployment.close()
 
 
 async def measure_control():
-    """Measure and print the slopes of control; return the lines by name."""
+    """Print the costs of control traffic; return the fitted lines by name."""
     lines = await _measure_heartbeats()
     lines.update(await _measure_shards())
     return lines
@@ -197,7 +217,7 @@
 async def _measure_heartbeats():
     rows = []
     for agents in (14, 28, 56):
-        window, _ = await measure_scene(
+        window, _ = await measure_deployment(
             agents, 1, shards=1, idle_heartbeat_s=0.5, heartbeats_per_s=1000
         )
         rows.append(window)
@@ -229,7 +249,7 @@
 async def _measure_shards():
     rows = []
     for shards in (1, 8, 24):
-        window, _ = await measure_scene(0, 1, shards=shards, followers=1)
+        window, _ = await measure_deployment(0, 1, shards=shards, followers=1)
         rows.append((shards, window))
     return {
         name: capacity_fit.print_line(title, unit, points)
--- a/benchmarks/capacity_failures.py
+++ b/benchmarks/capacity_failures.py
@@ -1,4 +1,4 @@
-"""What it costs to take over shards, and to start with a full configuration."""
+"""Cost of shard takeovers, and of starting an entry by size of its configuration."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 async def measure_failures():
-    """Measure and print takeovers and starts; return the lines by name."""
+    """Print the costs of takeovers and starts; return the fitted lines by name."""
     lines = await _measure_takeovers()
     lines.update(await _measure_starts())
     return lines
@@ -51,20 +51,22 @@
     try:
         await fleet.start()
         await _open_jobs(fleet, shards)
-        victim, owned = _find_victim(fleet)
+        crashed_host, owned = _find_largest_owner(fleet)
         before = _sum_epochs(fleet)
-        await fleet.crash(victim)
-        began = time.monotonic()
-        await fleet.wait_for(lambda: not owned & _list_owned(fleet, victim))
-        return len(owned), _sum_epochs(fleet) - before, time.monotonic() - began
+        await fleet.crash(crashed_host)
+        started_at = time.monotonic()
+        await fleet.wait_for(
+            lambda: not owned & _list_owned_shards(fleet, crashed_host)
+        )
+        return len(owned), _sum_epochs(fleet) - before, time.monotonic() - started_at
     finally:
         await fleet.close()
 
 
 async def _open_jobs(fleet, shards):
-    """Submit jobs until there is an open one in each shard."""
+    """Submit jobs until each shard has an unfinished one, and thereby an owner."""
     number = 0
-    while len(_list_owned(fleet)) < shards:
+    while len(_list_owned_shards(fleet)) < shards:
         lines = embedded.make_job_lines(JOB_ITEMS, JOB_TOKENS, prefix=f"j{number}")
         await fleet.submit(lines, f"key-{number}")
         number += 1
@@ -76,8 +78,8 @@
     return entry.table.followed.values()
 
 
-def _list_owned(fleet, host=None):
-    """Return the numbers of the shards owned by a host, or by any."""
+def _list_owned_shards(fleet, host=None):
+    """Return the numbers of the shards owned by `host`, or by any host if None."""
     return {
         shard.number
         for shard in _list_shards(fleet)
@@ -86,10 +88,10 @@
     }
 
 
-def _find_victim(fleet):
-    owned = {name: _list_owned(fleet, name) for name in fleet.entries}
-    victim = max(owned, key=lambda name: len(owned[name]))
-    return victim, owned[victim]
+def _find_largest_owner(fleet):
+    owned = {name: _list_owned_shards(fleet, name) for name in fleet.entries}
+    largest_owner = max(owned, key=lambda name: len(owned[name]))
+    return largest_owner, owned[largest_owner]
 
 
 def _sum_epochs(fleet):
@@ -99,18 +101,24 @@
 async def _measure_starts():
     rows = []
     for count in capacity_state.CONFIGURATION_SIZES:
-        scene = capacity_control.Scene(0, 1, {"shards": 1})
+        deployment = capacity_control.EntryDeployment(0, 1, {"shards": 1})
         try:
-            await scene.start(capacity_state.make_configuration(count))
-            seconds = await scene.wait_until_ready(count)
-            counts = await scene.read_counts(scene.platform)
-            memory = scene.entry.read_memory()
-            cpu = scene.entry.read_cpu()
+            await deployment.start(capacity_state.make_configuration(count))
+            seconds = await deployment.wait_until_ready(count)
+            counts = await deployment.read_counts(deployment.platform_process)
+            memory = deployment.entry.read_memory()
+            cpu = deployment.entry.read_cpu()
             rows.append(
-                (count, seconds, cpu, counts["log_bytes"] - scene.preloaded, memory)
+                (
+                    count,
+                    seconds,
+                    cpu,
+                    counts["log_bytes"] - deployment.preloaded_bytes,
+                    memory,
+                )
             )
         finally:
-            await scene.close()
+            await deployment.close()
     titles = (
         ("start_s", "Start of an entry, by workspaces", "s until it is ready"),
         ("start_cpu", "Start of an entry, by workspaces", "s of a core"),
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -1,4 +1,4 @@
-"""Least squares lines through measured points."""
+"""Least-squares lines through measured points."""
 
 import dataclasses
 import statistics
@@ -11,10 +11,9 @@
     """A straight line through measured points.
 
     Attributes:
-        slope: Growth for each unit.
-        base: Value at 0.
-        residual: Largest distance of a point from the line, as a share of the
-            largest value.
+        slope: Increase of the value per unit of size.
+        base: Value at size 0.
+        residual: Largest absolute residual, as a share of the largest value.
     """
 
     slope: float
@@ -36,12 +35,12 @@
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     slope, base = statistics.linear_regression(sizes, values)
-    distance = max(abs(v - base - slope * s) for s, v in points)
-    return Line(slope, base, distance / max(map(abs, values)))
+    residual = max(abs(v - base - slope * s) for s, v in points)
+    return Line(slope, base, residual / max(map(abs, values)))
 
 
 def print_line(name, unit, points):
-    """Print points and the line through them, and return the `Line`."""
+    """Print the points and the line fitted to them, and return the `Line`."""
     line = fit_line(points)
     shown = ", ".join(f"{size:,.0f}: {value:,.4g}" for size, value in points)
     print(f"{name} ({unit}): {shown}")
--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -1,8 +1,8 @@
-"""Helper processes of the capacity measurement: the platform, and many agents.
+"""Helper processes of the capacity benchmark: the platform, and the agents.
 
 ``python -m benchmarks.capacity_platform platform`` runs a log and a host list,
-``python -m benchmarks.capacity_platform agents COUNT`` one real agent for each of
-COUNT services. Both count what they are asked and how many bytes that takes.
+``python -m benchmarks.capacity_platform agents COUNT`` one agent for each of COUNT
+services. Both count the requests that they receive and the bytes transferred.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
 __all__ = ["run"]
 
 
-class _Meter:
-    """Bytes of HTTP that passed each local port of this process, both ways."""
+class _ByteMeter:
+    """Counts the bytes sent and received on each local port of this process."""
 
     def __init__(self):
         self.bytes = collections.Counter()
@@ -29,14 +29,14 @@
         self._write = iostream.IOStream.write_to_fd
 
     def install(self):
-        """Count from now on."""
-        meter = self
+        """Patch `tornado.iostream` to count all bytes read and written."""
+        byte_meter = self
 
         def read_from_fd(stream, buffer):
-            return meter._add(stream, self._read(stream, buffer))
+            return byte_meter._add(stream, self._read(stream, buffer))
 
         def write_to_fd(stream, data):
-            return meter._add(stream, self._write(stream, data))
+            return byte_meter._add(stream, self._write(stream, data))
 
         iostream.IOStream.read_from_fd = read_from_fd
         iostream.IOStream.write_to_fd = write_to_fd
@@ -47,12 +47,12 @@
         return count
 
     def count(self, address):
-        """Return the bytes that passed the port of an address."""
+        """Return the bytes sent and received on the port of `address`."""
         return self.bytes[int(address.rpartition(":")[2])]
 
 
-class _Counts(server.Server):
-    """Answers ``GET /counts`` for the servers beside it."""
+class _CountsServer(server.Server):
+    """Answers ``GET /counts`` with the counters of the other servers."""
 
     def __init__(self, describe):
         super().__init__()
@@ -99,21 +99,25 @@
 
 
 async def _run_platform():
-    kept, listed, meter = _CountingLog(), _CountingHostList(), _Meter()
-    meter.install()
-    await kept.start()
-    await listed.start()
+    record_log, host_list, byte_meter = (
+        _CountingLog(),
+        _CountingHostList(),
+        _ByteMeter(),
+    )
+    byte_meter.install()
+    await record_log.start()
+    await host_list.start()
 
     def describe():
         return {
-            "log": kept.address,
-            "hosts": listed.address,
-            "log_reads": kept.reads,
-            "log_appends": kept.appends,
-            "log_records": kept.records,
-            "log_bytes": meter.count(kept.address),
-            "host_reads": listed.reads,
-            "host_bytes": meter.count(listed.address),
+            "log": record_log.address,
+            "hosts": host_list.address,
+            "log_reads": record_log.reads,
+            "log_appends": record_log.appends,
+            "log_records": record_log.records,
+            "log_bytes": byte_meter.count(record_log.address),
+            "host_reads": host_list.reads,
+            "host_bytes": byte_meter.count(host_list.address),
         }
 
     await _serve_counts(describe)
@@ -129,8 +133,8 @@
 
 async def _run_agents(count):
     agents = [_make_agent(number) for number in range(count)]
-    meter = _Meter()
-    meter.install()
+    byte_meter = _ByteMeter()
+    byte_meter.install()
     for agent in agents:
         await agent.start()
 
@@ -138,14 +142,14 @@
         return {
             "addresses": [each.address for each in agents],
             "heartbeats": sum(each.heartbeats for each in agents),
-            "bytes": sum(meter.count(each.address) for each in agents),
+            "bytes": sum(byte_meter.count(each.address) for each in agents),
         }
 
     await _serve_counts(describe)
 
 
 def _make_agent(number):
-    # A plain service: no engine has to be there for it to be ready.
+    # An agent of a service becomes ready without a running target.
     target = {
         "name": f"target-{number}",
         "address": "127.0.0.1:1",
@@ -163,14 +167,14 @@
 
 
 async def _serve_counts(describe):
-    counts = _Counts(describe)
+    counts = _CountsServer(describe)
     await counts.start()
     print(json.dumps({"listening": counts.address}), flush=True)
     await asyncio.Event().wait()
 
 
 def run(arguments):
-    """Run the helper that the command line names."""
+    """Run the helper process named by the first argument."""
     logger.remove()
     if arguments[0] == "platform":
         asyncio.run(_run_platform())
--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of the state that is folded from the log."""
+"""Memory and processor time of the state that is replayed from the log."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 SHARD_SIZES = (4, 16, 64)
 RESULTS_PER_RECORD = 100
 WRITER_S = 4.0
-WRITER_TURN_S = 0.05
+WRITER_INTERVAL_S = 0.05
 MODELS = 14
 PROMPT = "user: Summarise the dossier of this exhibitor. " * 6
 ANSWER = " token" * 60
@@ -39,12 +39,12 @@
         change.make_change("template", "plain", 0, "bench", body, 1.0),
     ]
     for number in range(count):
-        _, entry = tokens.make_token()
+        _, token_record = tokens.make_token()
         filled = {
             "template": "plain",
             "template_version": 1,
             "parameters": {},
-            "tokens": [entry.to_dict()],
+            "tokens": [token_record.to_dict()],
             "stopped": False,
         }
         name = f"workspace-{number}"
@@ -53,7 +53,7 @@
 
 
 def measure_state():
-    """Measure and print the slopes of the folds; return the lines by name."""
+    """Print the costs of replicated state; return the fitted lines by name."""
     lines = _measure_configuration()
     lines.update(_measure_ledger())
     lines.update(asyncio.run(_measure_submission()))
@@ -88,18 +88,18 @@
     }
 
 
-def _apply_all(make, records):
-    """Return processor seconds, bytes of memory, and the fold of all records."""
-    state = make()
-    began = time.process_time()
+def _apply_all(make_state, records):
+    """Return processor seconds, bytes of memory and the state after all records."""
+    state = make_state()
+    started_at = time.process_time()
     for offset, text in enumerate(records):
         state.apply(offset, orjson.loads(text))
-    seconds = time.process_time() - began
+    seconds = time.process_time() - started_at
     gc.collect()
     tracemalloc.start()
-    again = make()
+    second_state = make_state()
     for offset, text in enumerate(records):
-        again.apply(offset, orjson.loads(text))
+        second_state.apply(offset, orjson.loads(text))
     gc.collect()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -167,14 +167,14 @@
     return {"custom_id": f"dossier-{number}", "response": response, "error": None}
 
 
-class _Gap:
-    """The longest time for which the loop did not turn."""
+class _LoopStallMonitor:
+    """Records the longest time for which the event loop was blocked."""
 
     def __init__(self):
         self.longest_s = 0.0
 
     async def watch(self):
-        """Turn the loop until cancelled."""
+        """Measure the delays of short sleeps until cancelled."""
         last = time.monotonic()
         while True:
             await asyncio.sleep(0.001)
@@ -184,25 +184,25 @@
 
 
 class _MemoryLog:
-    """Counts appends, and takes the time of one round trip for each."""
+    """Counts appends, and delays each by a round trip."""
 
     def __init__(self):
         self.appends = 0
 
     async def append(self, stream, records):
-        """Take records."""
+        """Discard the records."""
         orjson.dumps({"records": records})
         self.appends += 1
         await asyncio.sleep(0.002)
         return 0
 
 
-class _Follower:
+class _FakeReplica:
     def __init__(self):
         self.log = _MemoryLog()
 
     async def append(self, records, timeout_s):
-        """Take records; nothing is read back."""
+        """Append the records; they are not read back."""
         return await self.log.append("shard-0", records)
 
 
@@ -222,14 +222,14 @@
     rows = []
     for count in ITEM_SIZES:
         body = b"\n".join(map(_make_line, range(count)))
-        target = types.SimpleNamespace(replica=_Follower())
-        gap = _Gap()
-        watching = asyncio.ensure_future(gap.watch())
+        target_shard = types.SimpleNamespace(replica=_FakeReplica())
+        stall_monitor = _LoopStallMonitor()
+        monitoring = asyncio.ensure_future(stall_monitor.watch())
         await asyncio.sleep(0.01)
-        began = time.process_time()
+        started_at = time.process_time()
         submission = await intake.parse_items(body, _make_workspace())
         await intake.append_submission(
-            target,
+            target_shard,
             "batch_0",
             submission,
             _make_settings(),
@@ -238,11 +238,11 @@
             deadline=None,
             at=1.0,
         )
-        seconds = time.process_time() - began
+        seconds = time.process_time() - started_at
         await asyncio.sleep(0.01)
-        watching.cancel()
-        appends = target.replica.log.appends
-        rows.append((count, seconds, gap.longest_s * 1e3, appends, len(body)))
+        monitoring.cancel()
+        appends = target_shard.replica.log.appends
+        rows.append((count, seconds, stall_monitor.longest_s * 1e3, appends, len(body)))
     return _print_rows(
         rows,
         (
@@ -275,12 +275,12 @@
     owned = [shard.Shard(number, log) for number in range(shards)]
     results = writer.ResultWriter(_make_settings(flush_s=flush_s))
     await results.start()
-    began = time.monotonic()
+    started_at = time.monotonic()
     number = 0
-    while time.monotonic() - began < WRITER_S:
+    while time.monotonic() - started_at < WRITER_S:
         for each in owned:
             results.add(each, 1, "batch_0", number, "succeeded", _make_result(number))
         number += 1
-        await asyncio.sleep(WRITER_TURN_S)
+        await asyncio.sleep(WRITER_INTERVAL_S)
     await results.close()
     return log.appends / WRITER_S
--- a/benchmarks/capacity_table.py
+++ b/benchmarks/capacity_table.py
@@ -1,17 +1,17 @@
-"""What each role costs at the size designed for, worked out from slopes.
+"""Costs of each role at the design size, extrapolated from measured slopes.
 
-The sizes are those that the users state; 360 nodes before 1,900 replicas are read as
-360 entries and 1,900 agents. What is assumed beyond that stands in `ASSUMED`.
+`DESIGN_SIZE` is the size required by the users; their 360 nodes and 1,900 replicas are
+taken as 360 entries and 1,900 agents. All other assumptions are in `ASSUMPTIONS`.
 """
 
 import math
 
 from pimentowick.membership import fleet
 
-__all__ = ["ASSUMED", "SETTINGS", "SIZE", "print_table"]
+__all__ = ["ASSUMPTIONS", "DESIGN_SIZE", "SETTINGS", "print_table"]
 
 DAY_S = 86_400
-SIZE = {
+DESIGN_SIZE = {
     "entries": 360,
     "agents": 1900,
     "requests_per_s": 4300,
@@ -35,7 +35,7 @@
     "heartbeat_s": 0.5,
 }
 AGENT_SETTINGS = {"lease_s": 8.0}
-ASSUMED = {
+ASSUMPTIONS = {
     "log_appends_per_s": 300,
     "kept_days": 1.0,
     "models_with_open_jobs_per_owner": 3,
@@ -47,29 +47,29 @@
 }
 
 
-def print_table(lines, path, window):
-    """Print the figures at the size.
+def print_table(lines, path_costs, window):
+    """Print the costs at the design size.
 
     Args:
         lines: `benchmarks.capacity_fit.Line` by name.
-        path: What `benchmarks.bench_cost.measure_path` returned.
-        window: `benchmarks.capacity_control.Window` of an entry that sees the hosts
-            of the whole size.
+        path_costs: Result of `benchmarks.bench_cost.measure_path_costs`.
+        window: `benchmarks.capacity_control.Window` of an entry whose host list has
+            the design size.
 
     Returns:
-        The names of the figures that are over their limit.
+        Names of the figures that exceed their limit.
     """
-    over = []
+    exceeded = []
     for title, rows in (
-        ("entry, control", _work_out_entry(lines, window)),
-        ("entry, owner of a shard, besides", _work_out_owner(lines)),
-        ("entry, relay", _work_out_relay(path)),
-        ("agent, control", _work_out_agent(lines, path)),
-        ("agent, relay", _work_out_agent_relay(path)),
-        ("log", _work_out_log(lines)),
-        ("host list", _work_out_hosts()),
-        ("failures", _work_out_failures(lines)),
-        ("start of all processes at once", _work_out_start(lines)),
+        ("entry, control", _compute_entry_rows(lines, window)),
+        ("entry, owner of a shard, besides", _compute_owner_rows(lines)),
+        ("entry, relay", _compute_relay_rows(path_costs)),
+        ("agent, control", _compute_agent_rows(lines, path_costs)),
+        ("agent, relay", _compute_agent_relay_rows(path_costs)),
+        ("log", _compute_log_rows(lines)),
+        ("host list", _compute_host_list_rows()),
+        ("failures", _compute_failure_rows(lines)),
+        ("start of all processes at once", _compute_start_rows(lines)),
     ):
         print(f"\n{title}")
         for name, value, unit, limit in rows:
@@ -78,43 +78,56 @@
                 mark = f"   limit {limit:,.6g}"
                 if value > limit:
                     mark += "  OVER"
-                    over.append(f"{title}: {name}")
+                    exceeded.append(f"{title}: {name}")
             print(f"    {name:<52}{value:>14,.4g} {unit}{mark}")
-    return over
+    return exceeded
 
 
-def _per_s(name):
-    return SIZE[name] / DAY_S
+def _compute_rate_per_s(name):
+    return DESIGN_SIZE[name] / DAY_S
 
 
-def _get_followed():
-    return SETTINGS["shards"] * SETTINGS["followers"] / SIZE["entries"]
+def _get_shards_per_entry():
+    return SETTINGS["shards"] * SETTINGS["followers"] / DESIGN_SIZE["entries"]
 
 
-def _get_copy_bytes(lines):
-    """Return bytes a second that one copy of one shard reads."""
+def _get_follower_bytes_per_s(lines):
+    """Return bytes a second that one follower of one shard reads."""
     item = lines["item_log"].slope + lines["result_log"].slope
-    return _per_s("items_per_day") * item / SETTINGS["shards"]
+    return _compute_rate_per_s("items_per_day") * item / SETTINGS["shards"]
 
 
-def _work_out_entry(lines, window):
-    followed = _get_followed()
-    items = _per_s("items_per_day") * SETTINGS["followers"] / SIZE["entries"]
+def _compute_entry_rows(lines, window):
+    followed = _get_shards_per_entry()
+    items = (
+        _compute_rate_per_s("items_per_day")
+        * SETTINGS["followers"]
+        / DESIGN_SIZE["entries"]
+    )
     heartbeats = SETTINGS["heartbeats_per_s"] * lines["heartbeat_cpu"].slope
     ledger = items * lines["ledger_cpu"].slope * 1e3
-    changes = _per_s("changes_per_day") * lines["configuration_cpu"].slope * 1e3
+    changes = (
+        _compute_rate_per_s("changes_per_day") * lines["configuration_cpu"].slope * 1e3
+    )
     idle = lines["shard_cpu"].estimate(followed)
     cpu = idle + heartbeats + ledger + changes
     idle_bytes = lines["shard_bytes"].estimate(followed)
     heartbeat_bytes = SETTINGS["heartbeats_per_s"] * lines["heartbeat_bytes"].slope
-    host_bytes = window.host_bytes + _get_host_change_bytes()
+    host_bytes = window.host_bytes + _get_host_change_bytes_per_s()
     base_bytes = idle_bytes + heartbeat_bytes + host_bytes
     ledger_mb = _get_ledger_mb(lines)
     hosts_mb = window.memory / 1e6
-    workspaces_mb = lines["configuration_memory"].estimate(SIZE["workspaces"]) / 1e6
+    workspaces_mb = (
+        lines["configuration_memory"].estimate(DESIGN_SIZE["workspaces"]) / 1e6
+    )
     return [
-        ("agents known / peers", SIZE["agents"], "agents", None),
-        ("peers", SETTINGS["peers_per_service"] * SIZE["models"], "agents", None),
+        ("agents known / peers", DESIGN_SIZE["agents"], "agents", None),
+        (
+            "peers",
+            SETTINGS["peers_per_service"] * DESIGN_SIZE["models"],
+            "agents",
+            None,
+        ),
         ("shards followed, mean", followed, "shards", None),
         ("processor: idle, shards, configuration reads", idle, "ms/s", None),
         ("processor: heartbeats", heartbeats, "ms/s", None),
@@ -128,7 +141,7 @@
         ("bytes without batch bodies, sum", base_bytes, "B/s", LIMITS["bytes"]),
         (
             "bytes with batch bodies of followed shards",
-            base_bytes + followed * _get_copy_bytes(lines),
+            base_bytes + followed * _get_follower_bytes_per_s(lines),
             "B/s",
             LIMITS["bytes"],
         ),
@@ -144,72 +157,79 @@
     ]
 
 
-def _get_host_change_bytes():
-    """Return bytes a second of host lists that changed, for one entry."""
-    changes = ASSUMED["states_per_replaced_host"] * (
-        _per_s("failed_per_day") + _per_s("replaced_per_day")
+def _get_host_change_bytes_per_s():
+    """Return bytes a second that one entry reads of changed host lists."""
+    changes = ASSUMPTIONS["states_per_replaced_host"] * (
+        _compute_rate_per_s("failed_per_day") + _compute_rate_per_s("replaced_per_day")
     )
     return changes * _get_host_list_bytes()
 
 
 def _get_host_list_bytes():
-    return (SIZE["entries"] + SIZE["agents"]) * ASSUMED["host_row_bytes"]
+    return (DESIGN_SIZE["entries"] + DESIGN_SIZE["agents"]) * ASSUMPTIONS[
+        "host_row_bytes"
+    ]
 
 
 def _get_ledger_mb(lines):
-    items = SIZE["items_per_day"] * ASSUMED["kept_days"]
-    copies = SETTINGS["followers"] / SIZE["entries"]
+    items = DESIGN_SIZE["items_per_day"] * ASSUMPTIONS["kept_days"]
+    copies = SETTINGS["followers"] / DESIGN_SIZE["entries"]
     return items * copies * lines["ledger_memory"].slope / 1e6
 
 
 def _get_renewal_s():
-    """Return the time between renewals: a third of the lease, in whole turns."""
-    turn = SETTINGS["heartbeat_s"]
-    return AGENT_SETTINGS["lease_s"] / fleet.RENEWALS_PER_LEASE // turn * turn
+    """Return seconds between renewals, rounded down to whole heartbeat intervals."""
+    heartbeat_s = SETTINGS["heartbeat_s"]
+    return (
+        AGENT_SETTINGS["lease_s"]
+        / fleet.RENEWALS_PER_LEASE
+        // heartbeat_s
+        * heartbeat_s
+    )
 
 
-def _work_out_owner(lines):
-    models = ASSUMED["models_with_open_jobs_per_owner"]
+def _compute_owner_rows(lines):
+    models = ASSUMPTIONS["models_with_open_jobs_per_owner"]
     peers = SETTINGS["peers_per_service"] * models
     renew_s = _get_renewal_s()
-    lease = ASSUMED["leases_per_model"] * models / renew_s
-    most_leases = peers / renew_s
-    most = SIZE["items_per_day"] / SIZE["jobs_per_day"]
+    lease_heartbeats = ASSUMPTIONS["leases_per_model"] * models / renew_s
+    max_lease_heartbeats = peers / renew_s
+    mean_job_items = DESIGN_SIZE["items_per_day"] / DESIGN_SIZE["jobs_per_day"]
     return [
         ("time between renewals of a lease", renew_s, "s", None),
-        ("heartbeats that renew leases", lease, "a second", None),
+        ("heartbeats that renew leases", lease_heartbeats, "a second", None),
         (
             "processor: these heartbeats",
-            lease * lines["heartbeat_cpu"].slope,
+            lease_heartbeats * lines["heartbeat_cpu"].slope,
             "ms/s",
             LIMITS["cpu_ms"],
         ),
         (
             "bytes: these heartbeats",
-            lease * lines["heartbeat_bytes"].slope,
+            lease_heartbeats * lines["heartbeat_bytes"].slope,
             "B/s",
             LIMITS["bytes"],
         ),
-        ("the same with leases at all peers", most_leases, "a second", None),
+        ("the same with leases at all peers", max_lease_heartbeats, "a second", None),
         (
             "processor: with leases at all peers",
-            most_leases * lines["heartbeat_cpu"].slope,
+            max_lease_heartbeats * lines["heartbeat_cpu"].slope,
             "ms/s",
             LIMITS["cpu_ms"],
         ),
         (
             "bytes: with leases at all peers",
-            most_leases * lines["heartbeat_bytes"].slope,
+            max_lease_heartbeats * lines["heartbeat_bytes"].slope,
             "B/s",
             LIMITS["bytes"],
         ),
         (
             "items, each shard",
-            _per_s("items_per_day") / SETTINGS["shards"],
+            _compute_rate_per_s("items_per_day") / SETTINGS["shards"],
             "items/s",
             None,
         ),
-        ("items of a mean job", most, "items", None),
+        ("items of a mean job", mean_job_items, "items", None),
         (
             "submission of 65,000 items",
             lines["submission_cpu"].estimate(65_000),
@@ -225,65 +245,79 @@
     ]
 
 
-def _work_out_relay(path):
-    requests = SIZE["requests_per_s"] / SIZE["entries"]
-    tokens = SIZE["tokens_per_s"] / SIZE["entries"]
-    request_ms = requests * path["entry_request"] * 1e3
-    token_ms = tokens * path["entry_chunk"] / path["tokens_per_chunk"] * 1e3
+def _compute_relay_rows(path_costs):
+    requests = DESIGN_SIZE["requests_per_s"] / DESIGN_SIZE["entries"]
+    tokens = DESIGN_SIZE["tokens_per_s"] / DESIGN_SIZE["entries"]
+    request_ms = requests * path_costs["entry_request"] * 1e3
+    token_ms = tokens * path_costs["entry_chunk"] / path_costs["tokens_per_chunk"] * 1e3
     return [
         ("requests", requests, "a second", None),
         ("tokens, all as online streams", tokens, "a second", None),
         ("processor: requests", request_ms, "ms/s", None),
         ("processor: tokens", token_ms, "ms/s", 1000 - request_ms),
-        ("memory with 100 streams", path["entry_stream_memory"] / 1e6, "MB", 64),
-        ("added to a direct call, median", path["added_median"] * 1e3, "ms", None),
-        ("added to a direct call, p99", path["added_p99"] * 1e3, "ms", 330),
+        ("memory with 100 streams", path_costs["entry_stream_memory"] / 1e6, "MB", 64),
+        (
+            "added to a direct call, median",
+            path_costs["added_median"] * 1e3,
+            "ms",
+            None,
+        ),
+        ("added to a direct call, p99", path_costs["added_p99"] * 1e3, "ms", 330),
     ]
 
 
-def _work_out_agent(lines, path):
-    heartbeats = SETTINGS["heartbeats_per_s"] * SIZE["entries"] / SIZE["agents"]
-    idle = path["agent_idle_cpu"] * 1e3
+def _compute_agent_rows(lines, path_costs):
+    heartbeats = (
+        SETTINGS["heartbeats_per_s"] * DESIGN_SIZE["entries"] / DESIGN_SIZE["agents"]
+    )
+    idle = path_costs["agent_idle_cpu"] * 1e3
     cpu = idle + heartbeats * lines["heartbeat_agent_cpu"].slope
     return [
         ("heartbeats", heartbeats, "a second", None),
         ("processor: idle, measured", idle, "ms/s", None),
         ("processor, sum", cpu, "ms/s", LIMITS["cpu_ms"]),
         ("bytes", heartbeats * lines["heartbeat_bytes"].slope, "B/s", LIMITS["bytes"]),
-        ("memory, measured idle", path["agent_idle_memory"] / 1e6, "MB", 64),
+        ("memory, measured idle", path_costs["agent_idle_memory"] / 1e6, "MB", 64),
     ]
 
 
-def _work_out_agent_relay(path):
-    requests = SIZE["requests_per_s"] / SIZE["agents"]
-    tokens = SIZE["tokens_per_s"] / SIZE["agents"]
-    cpu = requests * path["agent_request"] + tokens * path["agent_chunk"]
+def _compute_agent_relay_rows(path_costs):
+    requests = DESIGN_SIZE["requests_per_s"] / DESIGN_SIZE["agents"]
+    tokens = DESIGN_SIZE["tokens_per_s"] / DESIGN_SIZE["agents"]
+    cpu = requests * path_costs["agent_request"] + tokens * path_costs["agent_chunk"]
     return [
         ("requests", requests, "a second", None),
         ("tokens", tokens, "a second", None),
         ("processor", cpu * 1e3, "ms/s", 1000),
-        ("memory with 100 streams", path["agent_stream_memory"] / 1e6, "MB", 64),
+        ("memory with 100 streams", path_costs["agent_stream_memory"] / 1e6, "MB", 64),
     ]
 
 
-def _work_out_log(lines):
-    items = _per_s("items_per_day")
-    full = items * lines["result_log"].slope / ASSUMED["record_bytes"]
-    results = max(SETTINGS["shards"] / SETTINGS["flush_s"], full)
-    mean_job = SIZE["items_per_day"] / SIZE["jobs_per_day"]
-    per_job = math.ceil(lines["submission_appends"].estimate(mean_job))
-    jobs = _per_s("jobs_per_day") * per_job
-    changes = _per_s("changes_per_day")
+def _compute_log_rows(lines):
+    items = _compute_rate_per_s("items_per_day")
+    full_record_appends = (
+        items * lines["result_log"].slope / ASSUMPTIONS["record_bytes"]
+    )
+    results = max(SETTINGS["shards"] / SETTINGS["flush_s"], full_record_appends)
+    mean_job_items = DESIGN_SIZE["items_per_day"] / DESIGN_SIZE["jobs_per_day"]
+    per_job = math.ceil(lines["submission_appends"].estimate(mean_job_items))
+    jobs = _compute_rate_per_s("jobs_per_day") * per_job
+    changes = _compute_rate_per_s("changes_per_day")
     appends = results + jobs + changes
-    room = ASSUMED["log_appends_per_s"] - appends
+    spare_appends = ASSUMPTIONS["log_appends_per_s"] - appends
     item_bytes = lines["item_log"].slope + lines["result_log"].slope
-    reads = SIZE["entries"] + SETTINGS["shards"] * SETTINGS["followers"] / 0.5
+    reads = DESIGN_SIZE["entries"] + SETTINGS["shards"] * SETTINGS["followers"] / 0.5
     return [
         ("appends: results", results, "a second", None),
         ("appends: submissions", jobs, "a second", None),
         ("appends: changes of the configuration", changes, "a second", None),
-        ("appends, sum", appends, "a second", ASSUMED["log_appends_per_s"]),
-        ("keyed calls that still fit, at 2 appends", room / 2, "a second", None),
+        ("appends, sum", appends, "a second", ASSUMPTIONS["log_appends_per_s"]),
+        (
+            "keyed calls that still fit, at 2 appends",
+            spare_appends / 2,
+            "a second",
+            None,
+        ),
         ("items in a second", items, "items", None),
         ("bytes of an item and its result", item_bytes, "bytes", None),
         ("bytes appended", items * item_bytes, "B/s", None),
@@ -296,13 +330,13 @@
         ("reads, with open jobs in all shards", reads, "a second", None),
         (
             "checkpoint of the configuration",
-            lines["configuration_checkpoint"].estimate(SIZE["workspaces"]),
+            lines["configuration_checkpoint"].estimate(DESIGN_SIZE["workspaces"]),
             "bytes",
             None,
         ),
         (
             "checkpoint of a shard, a day of jobs",
-            SIZE["items_per_day"]
+            DESIGN_SIZE["items_per_day"]
             / SETTINGS["shards"]
             * lines["ledger_checkpoint"].slope,
             "bytes",
@@ -311,27 +345,34 @@
     ]
 
 
-def _work_out_hosts():
+def _compute_host_list_rows():
     size = _get_host_list_bytes()
     return [
-        ("reads, at host_poll_s 1", SIZE["entries"], "a second", None),
+        ("reads, at host_poll_s 1", DESIGN_SIZE["entries"], "a second", None),
         ("bytes of the list", size, "bytes", None),
-        ("bytes after one change, all entries", size * SIZE["entries"], "bytes", None),
+        (
+            "bytes after one change, all entries",
+            size * DESIGN_SIZE["entries"],
+            "bytes",
+            None,
+        ),
         (
             "bytes of changed lists, all entries",
-            _get_host_change_bytes() * SIZE["entries"],
+            _get_host_change_bytes_per_s() * DESIGN_SIZE["entries"],
             "B/s",
             None,
         ),
     ]
 
 
-def _work_out_failures(lines):
-    owned = SETTINGS["shards"] / SIZE["entries"]
-    hosts = SIZE["entries"] + SIZE["agents"]
-    rack = ASSUMED["rack_hosts"] * SIZE["entries"] / hosts
-    domain = SIZE["entries"] / SIZE["domains"]
-    day = SIZE["failed_per_day"] + SIZE["replaced_per_day"]
+def _compute_failure_rows(lines):
+    owned = SETTINGS["shards"] / DESIGN_SIZE["entries"]
+    hosts = DESIGN_SIZE["entries"] + DESIGN_SIZE["agents"]
+    rack = ASSUMPTIONS["rack_hosts"] * DESIGN_SIZE["entries"] / hosts
+    domain = DESIGN_SIZE["entries"] / DESIGN_SIZE["domains"]
+    hosts_changed_per_day = (
+        DESIGN_SIZE["failed_per_day"] + DESIGN_SIZE["replaced_per_day"]
+    )
     slope = lines["takeover_claims"].slope
     return [
         ("appends: takeover of one entry", owned * slope, "claims", None),
@@ -340,13 +381,13 @@
         ("appends: failure domain", domain * owned * slope, "claims", None),
         (
             "agents lost with a failure domain",
-            SIZE["agents"] / SIZE["domains"],
+            DESIGN_SIZE["agents"] / DESIGN_SIZE["domains"],
             "agents",
             None,
         ),
         (
             "claims of a day",
-            day * SIZE["entries"] / hosts * owned * slope,
+            hosts_changed_per_day * DESIGN_SIZE["entries"] / hosts * owned * slope,
             "claims",
             None,
         ),
@@ -359,10 +400,10 @@
     ]
 
 
-def _work_out_start(lines):
-    workspaces = SIZE["workspaces"]
-    one = lines["start_bytes"].estimate(workspaces)
-    survey = SIZE["entries"] * SIZE["agents"]
+def _compute_start_rows(lines):
+    workspaces = DESIGN_SIZE["workspaces"]
+    entry_bytes = lines["start_bytes"].estimate(workspaces)
+    first_heartbeats = DESIGN_SIZE["entries"] * DESIGN_SIZE["agents"]
     return [
         (
             "one entry: until it is ready",
@@ -376,18 +417,23 @@
             "s",
             None,
         ),
-        ("one entry: configuration read", one, "bytes", None),
-        ("all: configuration read", one * SIZE["entries"], "bytes", None),
+        ("one entry: configuration read", entry_bytes, "bytes", None),
+        (
+            "all: configuration read",
+            entry_bytes * DESIGN_SIZE["entries"],
+            "bytes",
+            None,
+        ),
         (
             "all: host list read",
-            _get_host_list_bytes() * SIZE["entries"],
+            _get_host_list_bytes() * DESIGN_SIZE["entries"],
             "bytes",
             None,
         ),
-        ("all: questions to agents", survey, "heartbeats", None),
+        ("all: questions to agents", first_heartbeats, "heartbeats", None),
         (
             "one agent: processor time for these",
-            SIZE["entries"] * lines["heartbeat_agent_cpu"].slope,
+            DESIGN_SIZE["entries"] * lines["heartbeat_agent_cpu"].slope,
             "ms",
             None,
         ),
--- a/benchmarks/cost_path.py
+++ b/benchmarks/cost_path.py
@@ -1,4 +1,4 @@
-"""Loads the separate processes of a small deployment, and reads what they used."""
+"""Sends load to a small deployment of separate processes and measures their usage."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 from pimentowick.configuration import tokens
 from pimentowick.fakes import embedded
 
-__all__ = ["STEP_MS", "STREAM_TOKENS", "Path", "Usage", "get_percentile"]
+__all__ = ["STEP_MS", "STREAM_TOKENS", "RequestPath", "Usage", "get_percentile"]
 
 MODEL = "lm"
 STEP_MS = 34
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What a load cost.
+    """Resources used during a load.
 
     Attributes:
         entry_cpu: Processor time of the entry, in seconds.
         agent_cpu: Processor time of the agent, in seconds.
-        latencies: Seconds that each request took.
-        chunks: Events that the callers received.
-        entry_memory: Most resident memory seen of the entry, in bytes.
-        agent_memory: The same of the agent.
+        latencies: Latency of each request, in seconds.
+        chunks: Number of stream events that the callers received.
+        entry_memory: Peak resident memory of the entry, in bytes.
+        agent_memory: Peak resident memory of the agent, in bytes.
     """
 
     entry_cpu: float
@@ -41,8 +41,8 @@
     agent_memory: int = 0
 
 
-class Path:
-    """One engine, one agent, one entry, a log and a host list, each a process.
+class RequestPath:
+    """One engine, one agent, one entry, a log and a host list in separate processes.
 
     Args:
         step_ms: Time between tokens at the engine, in milliseconds.
@@ -54,7 +54,7 @@
         self.client = http_client.Client(128)
 
     async def start(self):
-        """Start the processes, and publish one workspace."""
+        """Start the processes and publish one workspace."""
         await self.client.start()
         log, hosts = self._start_fake("log"), self._start_fake("hosts")
         self.engine = self._start_fake("engine", f"base_step_ms={self._step_ms}")
@@ -66,7 +66,7 @@
             "max_online": 128,
         }
         fields = {"name": "agent-0", "failure_domain": "d0", "target": target}
-        self.agent = self._keep(cost_process.start_daemon("agent", fields))
+        self.agent = self._track_child(cost_process.start_daemon("agent", fields))
         self.token, operator = tokens.make_token("bench")
         fields = {
             "name": "entry-0",
@@ -74,12 +74,12 @@
             "platform": {"log": log.address, "hosts": hosts.address},
             "operators": [operator.to_dict()],
         }
-        self.entry = self._keep(cost_process.start_daemon("entry", fields))
-        await self._list_host(hosts, "agent-0", "agent", self.agent.address)
-        await self._list_host(hosts, "entry-0", "entry", self.entry.address)
+        self.entry = self._track_child(cost_process.start_daemon("entry", fields))
+        await self._register_host(hosts, "agent-0", "agent", self.agent.address)
+        await self._register_host(hosts, "entry-0", "entry", self.entry.address)
         await self._publish()
 
-    def _keep(self, child):
+    def _track_child(self, child):
         self._children.append(child)
         return child
 
@@ -89,9 +89,9 @@
             arguments += ["--set", pair]
         if kind == "engine":
             arguments += ["--set", f'models=["{MODEL}"]']
-        return self._keep(cost_process.Child(arguments))
+        return self._track_child(cost_process.Child(arguments))
 
-    async def _list_host(self, hosts, name, role, address):
+    async def _register_host(self, hosts, name, role, address):
         fields = {"role": role, "address": address, "failure_domain": "d0"}
         fields["state"] = "live"
         await self.client.fetch("PUT", hosts.address, f"/hosts/{name}", fields)
@@ -100,35 +100,39 @@
         deadline = time.monotonic() + READY_TIMEOUT_S
         while (await check()).status != 200:
             if time.monotonic() > deadline:
-                raise TimeoutError("The path did not become ready.")
+                raise TimeoutError(
+                    f"The deployment was not ready within {READY_TIMEOUT_S:g} s."
+                )
             await asyncio.sleep(0.1)
 
-    def _ask_ready(self):
+    def _fetch_readiness(self):
         return self.client.fetch("GET", self.entry.address, "/ready")
 
     async def _publish(self):
-        await self._wait_until(self._ask_ready)
+        await self._wait_until(self._fetch_readiness)
         template = {"amends": 0, "body": embedded.TEMPLATE}
-        made = await self._put("template/plain", template)
-        text, entry = tokens.make_token()
+        made = await self._put_configuration("template/plain", template)
+        text, token_record = tokens.make_token()
         body = {
             "template": "plain",
             "template_version": made["version"],
             "parameters": {},
-            "tokens": [entry.to_dict()],
+            "tokens": [token_record.to_dict()],
             "stopped": False,
         }
-        await self._put("workspace/a", {"amends": 0, "body": body})
+        await self._put_configuration("workspace/a", {"amends": 0, "body": body})
         self.headers = {"Authorization": f"Bearer {text}"}
-        await self._wait_until(lambda: self.ask(1))
+        await self._wait_until(lambda: self.send_chat(1))
 
-    async def _put(self, path, body):
+    async def _put_configuration(self, path, body):
         headers = {"Authorization": f"Bearer {self.token}"}
         answer = await self.client.fetch(
             "PUT", self.entry.address, f"/v1/admin/{path}", body, headers
         )
         if answer.status != 200:
-            raise AssertionError(answer.body)
+            raise AssertionError(
+                f"PUT {path} failed with status {answer.status}: {answer.body}"
+            )
         return answer.decode()
 
     async def close(self):
@@ -147,8 +151,8 @@
             "stream": stream,
         }
 
-    async def ask(self, max_tokens):
-        """Send one chat completion and return its answer."""
+    async def send_chat(self, max_tokens):
+        """Send one chat completion and return the response."""
         return await self.client.fetch(
             "POST",
             self.entry.address,
@@ -158,8 +162,8 @@
             timeout_s=30,
         )
 
-    async def ask_engine(self, max_tokens):
-        """Send one generation directly to the engine."""
+    async def send_to_engine(self, max_tokens):
+        """Send one generation directly to the engine and return the response."""
         body = {
             "request_id": f"r-{time.monotonic_ns()}",
             "attempt": 1,
@@ -173,29 +177,31 @@
             "POST", self.engine.address, "/generate", body, timeout_s=30
         )
 
-    async def load(self, ask, count, at_once):
-        """Run `count` requests, some at once, and return the `Usage`."""
+    async def run_requests(self, send, count, concurrency):
+        """Send `count` requests, `concurrency` at a time, and return the `Usage`."""
         latencies = []
-        left = iter(range(count))
+        remaining = iter(range(count))
 
         async def run():
-            for _ in left:
-                began = time.perf_counter()
-                answer = await ask()
+            for _ in remaining:
+                started_at = time.perf_counter()
+                answer = await send()
                 if answer.status != 200:
-                    raise AssertionError(answer.body)
-                latencies.append(time.perf_counter() - began)
+                    raise AssertionError(
+                        f"request failed with status {answer.status}: {answer.body}"
+                    )
+                latencies.append(time.perf_counter() - started_at)
 
         before = self.entry.read_cpu(), self.agent.read_cpu()
-        await asyncio.gather(*(run() for _ in range(at_once)))
+        await asyncio.gather(*(run() for _ in range(concurrency)))
         return Usage(
             self.entry.read_cpu() - before[0],
             self.agent.read_cpu() - before[1],
             latencies,
         )
 
-    async def stream(self, streams):
-        """Run some streams at once and return the `Usage`."""
+    async def run_streams(self, streams):
+        """Run concurrent streams and return the `Usage`."""
         before = self.entry.read_cpu(), self.agent.read_cpu()
         running = asyncio.gather(*(self._read_stream() for _ in range(streams)))
         memory = [(0, 0)]
@@ -227,6 +233,6 @@
         return count
 
 
-def get_percentile(values, share):
-    """Return the value below which `share` of `values` lie."""
-    return statistics.quantiles(values, n=100)[round(share * 100) - 1]
+def get_percentile(values, fraction):
+    """Return the value below which a fraction of the values lies."""
+    return statistics.quantiles(values, n=100)[round(fraction * 100) - 1]
--- a/benchmarks/cost_process.py
+++ b/benchmarks/cost_process.py
@@ -18,13 +18,13 @@
 
 
 class Child:
-    """One process that this measurement started.
+    """A Python process started by a benchmark.
 
     Args:
-        arguments: What follows the interpreter on its command line.
+        arguments: Arguments of the interpreter.
 
     Attributes:
-        address: ``IP:port`` that it said it listens on.
+        address: ``IP:port`` that the process listens on.
     """
 
     def __init__(self, arguments):
@@ -48,7 +48,7 @@
         return int(text.split()[1]) * resource.getpagesize()
 
     def close(self):
-        """Stop the process."""
+        """Terminate the process, and kill it if it does not end in time."""
         self._process.terminate()
         try:
             self._process.wait(STOP_TIMEOUT_S)
@@ -59,7 +59,7 @@
 
 
 def start_daemon(role, settings):
-    """Start an entry or an agent.
+    """Start an entry or an agent that stops without draining.
 
     Args:
         role: ``entry`` or ``agent``.
--- a/benchmarks/cost_relay.py
+++ b/benchmarks/cost_relay.py
@@ -1,4 +1,4 @@
-"""The least that a request and a relayed chunk can cost with these libraries."""
+"""Baseline cost of a request and of a relayed chunk with the libraries in use."""
 
 import asyncio
 import json
@@ -10,10 +10,10 @@
 from pimentowick import client as http_client
 from pimentowick import web as http_web
 
-__all__ = ["measure_base", "run"]
+__all__ = ["measure_baseline", "run"]
 
 REQUESTS = 2000
-AT_ONCE = 16
+CONCURRENCY = 16
 STREAMS = 90
 LINES = 60
 LINES_TOGETHER = 4
@@ -23,13 +23,13 @@
 
 class _BareHandler(http_web.JsonHandler):
     def post(self):
-        """Answer a small body."""
+        """Return the JSON body of the request."""
         self.write_json(self.read_json())
 
 
 class _SourceHandler(web.RequestHandler):
     async def get(self):
-        """Write some lines together after each pause."""
+        """Write several lines at once after each pause."""
         for _ in range(LINES):
             self.write(LINE * LINES_TOGETHER)
             await self.flush()
@@ -38,19 +38,19 @@
 
 class _RelayHandler(http_web.JsonHandler):
     def initialize(self, client, upstream):
-        """Take the client and where it sends to."""
+        """Set the HTTP client and the address to relay to."""
         self.client = client
         self.upstream = upstream
 
     async def post(self):
-        """Pass a request on."""
+        """Relay a request."""
         answer = await self.client.fetch(
             "POST", self.upstream, "/bare", self.request.body
         )
         self.finish(answer.body)
 
     async def get(self):
-        """Pass a stream on, its lines one by one or as they came."""
+        """Relay a stream, with one write per line or per group of received lines."""
         stream = self.client.open_stream("GET", self.upstream, "/source")
         together = self.get_query_argument("together") == "1"
         while lines := await stream.read_lines():
@@ -80,8 +80,13 @@
     await asyncio.Event().wait()
 
 
-async def measure_base():
-    """Return processor seconds by name: bare, relay, chunk_apart, chunk_together."""
+async def measure_baseline():
+    """Measure the baseline.
+
+    Returns:
+        Processor seconds: ``bare`` and ``relay`` per request, ``chunk_apart`` and
+        ``chunk_together`` per relayed line.
+    """
     source = cost_process.Child(["-m", "benchmarks.cost_relay", "none"])
     relay = cost_process.Child(["-m", "benchmarks.cost_relay", source.address])
     client = http_client.Client(128)
@@ -100,14 +105,14 @@
 
 
 async def _load(client, child, path):
-    left = iter(range(REQUESTS))
+    remaining = iter(range(REQUESTS))
 
     async def send():
-        for _ in left:
+        for _ in remaining:
             await client.fetch("POST", child.address, path, {"text": "x" * 100})
 
     before = child.read_cpu()
-    await asyncio.gather(*(send() for _ in range(AT_ONCE)))
+    await asyncio.gather(*(send() for _ in range(CONCURRENCY)))
     return (child.read_cpu() - before) / REQUESTS
 
 
@@ -123,7 +128,7 @@
 
 
 def run(arguments):
-    """Serve, as a helper process of `measure_base`."""
+    """Run a server process of `measure_baseline`."""
     asyncio.run(_serve(arguments[0]))
 
 
--- a/benchmarks/paired_plays.py
+++ b/benchmarks/paired_plays.py
@@ -1,10 +1,11 @@
-"""Days of the users' bench played by two or more trees, compared in pairs.
+"""Paired comparison of source trees by their plays of days of the users' bench.
 
 Notes:
-    Each play leaves an entry in the tree's journal. Days of one deployment with the
-    same name and seed make a pair; what is compared is the worth and its parts, the
-    prices and the worth of each kind of request. A day alone says little, pairs over
-    several seeds do, by their standard error. Plays that were cut short are left out.
+    A play is one run of a day, which is a workload of the bench with a seed, and is
+    recorded in the journal of its tree. Plays by two trees of the same day, seed and
+    deployment make a pair. A comparison gives the mean differences of the score (the
+    worth) with its standard error, of its parts, of the penalties (the prices) and of
+    the score of each kind of request. Incomplete plays are skipped.
 """
 
 import dataclasses
@@ -16,26 +17,26 @@
 
 __all__ = ["Comparison", "Play", "compare", "make_table", "read_plays"]
 
-# Prices below this say nothing.
-LEAST_PRICE = 0.0005
+# Smaller differences of penalties are not printed.
+MIN_SHOWN_PENALTY = 0.0005
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Play:
-    """One day as one tree played it.
+    """The result of one play.
 
     Attributes:
         key: Deployment, name of the day and seed.
-        worth: Its worth, had no rule been broken.
-        rules: Number of breaks by rule.
-        parts: Worth by part of the goal.
-        prices: What was taken off, by cause.
-        by_class: Worth by kind of request, in the order of the deployment.
+        worth: Score, without the effect of violated rules.
+        violations: Number of violations by rule.
+        parts: Score by part of the objective.
+        prices: Penalties subtracted from the score, by cause.
+        by_class: Score by kind of request, in the order of the deployment.
     """
 
     key: tuple
     worth: float
-    rules: dict
+    violations: dict
     parts: dict
     prices: dict
     by_class: tuple
@@ -43,16 +44,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Comparison:
-    """What another tree does better than the first; negative if it does worse.
+    """Differences of another tree to the first; negative if its values are lower.
 
     Attributes:
-        pairs: Number of days that both played.
-        worth: Mean difference of worth.
-        error: Its standard error; infinite with one pair.
-        by_day: Difference by key of the day.
-        parts: Mean difference by part of the goal.
-        prices: Mean difference of what was taken off, by cause.
-        by_class: Mean difference by kind of request.
+        pairs: Number of days played by both trees.
+        worth: Mean difference of the score.
+        error: Standard error of `worth`; infinite with one pair.
+        by_day: Difference of the score by key of the day.
+        parts: Mean difference of the score by part of the objective.
+        prices: Mean difference of the penalties by cause.
+        by_class: Mean difference of the score by kind of request.
     """
 
     pairs: int
@@ -70,13 +71,13 @@
 
 
 def read_plays(directory, since=""):
-    """Return the plays of a tree's journal, by key; the newest of each day.
+    """Return the newest play of each day in a journal, by key.
 
     Args:
         directory: Directory of the journal.
-        since: Names of entries that sort before this are passed over.
+        since: Journal entries whose names sort before this are skipped.
     """
-    found = {}
+    plays = {}
     for path in sorted(pathlib.Path(directory).glob("*.json")):
         if path.name < since:
             continue
@@ -87,15 +88,15 @@
             if day.get("G") is None:
                 continue
             play = _decode(entry.get("site"), day)
-            found[play.key] = play
-    return found
+            plays[play.key] = play
+    return plays
 
 
 def _decode(site, day):
     return Play(
         key=(site, day["name"], day["seed"]),
         worth=day["G"],
-        rules=day.get("rules") or {},
+        violations=day.get("rules") or {},
         parts={name: worth for name, _, worth in day.get("parts") or ()},
         prices={name: taken for name, _, taken in day.get("prices") or ()},
         by_class=tuple(worth or 0.0 for worth in day.get("by_class") or ()),
@@ -103,14 +104,14 @@
 
 
 def compare(first, other):
-    """Return the `Comparison` of two trees' plays, or None without a common day.
+    """Return the `Comparison` of the plays of two trees, or None without a pair.
 
     Examples:
         >>> make = lambda seed, worth: Play(("s", "d", seed), worth, {}, {}, {}, ())
         >>> one = {make(n, 0.8).key: make(n, 0.8) for n in range(2)}
         >>> two = {make(n, 0.8).key: make(n, 0.9 + n / 10) for n in range(2)}
-        >>> found = compare(one, two)
-        >>> found.pairs, round(found.worth, 3), round(found.error, 3)
+        >>> result = compare(one, two)
+        >>> result.pairs, round(result.worth, 3), round(result.error, 3)
         (2, 0.15, 0.05)
     """
     keys = sorted(first.keys() & other.keys())
@@ -154,10 +155,10 @@
 
 
 def make_table(trees):
-    """Return a text that compares trees with the first of them.
+    """Return a text table that compares each tree with the first.
 
     Args:
-        trees: Plays by name of the tree, the one to compare with first.
+        trees: Plays by name of the tree; the first tree is the baseline.
     """
     names = list(trees)
     keys = sorted({key for plays in trees.values() for key in plays})
@@ -168,31 +169,31 @@
         label = " ".join(map(str, key))
         rows.append(f"{label:{width}}" + "".join(f"  {cell:>12}" for cell in cells))
     for name in names[1:]:
-        found = compare(trees[names[0]], trees[name])
-        if found is not None:
-            rows += ["", *_describe(names[0], name, found)]
+        comparison = compare(trees[names[0]], trees[name])
+        if comparison is not None:
+            rows += ["", *_describe(names[0], name, comparison)]
     return "\n".join(rows)
 
 
 def _format(play):
     if play is None:
         return "-"
-    return f"{play.worth:.3f}" + ("!" if play.rules else "")
+    return f"{play.worth:.3f}" + ("!" if play.violations else "")
 
 
-def _describe(first, name, found):
-    error = "-" if math.isinf(found.error) else f"{found.error:.4f}"
-    verdict = "clear" if found.is_clear else "not clear"
+def _describe(first, name, comparison):
+    error = "-" if math.isinf(comparison.error) else f"{comparison.error:.4f}"
+    verdict = "clear" if comparison.is_clear else "not clear"
     rows = [
-        f"{name} less {first}: {found.worth:+.4f}, standard error {error}, "
-        f"{found.pairs} pairs, {verdict}"
+        f"{name} less {first}: {comparison.worth:+.4f}, standard error {error}, "
+        f"{comparison.pairs} pairs, {verdict}"
     ]
-    rows += [f"  {part}: {value:+.4f}" for part, value in found.parts.items()]
-    classes = " ".join(f"{value:+.4f}" for value in found.by_class)
+    rows += [f"  {part}: {value:+.4f}" for part, value in comparison.parts.items()]
+    classes = " ".join(f"{value:+.4f}" for value in comparison.by_class)
     rows.append(f"  by kind of request: {classes}")
     rows += [
         f"  price of {cause}: {value:+.4f}"
-        for cause, value in found.prices.items()
-        if abs(value) >= LEAST_PRICE
+        for cause, value in comparison.prices.items()
+        if abs(value) >= MIN_SHOWN_PENALTY
     ]
     return rows
--- a/benchmarks/policy_fairness.py
+++ b/benchmarks/policy_fairness.py
@@ -1,4 +1,4 @@
-"""Tokens of two equal workspaces of which one floods the other's targets."""
+"""Fairness between two equal workspaces of which one sends far more requests."""
 
 import asyncio
 import collections
@@ -15,23 +15,23 @@
 CALM = "calm"
 FLOOD = "flood"
 FLOOD_FACTOR = 10
-CALM_RATE = 12.0
+CALM_REQUESTS_PER_S = 12.0
 ONLINE_S = 120.0
 MAX_ONLINE = 8
 MAX_QUEUE = 256
-TOKENS = 24
-JOBS_OF_FLOOD = 10
-ITEMS_OF_JOB = 700
+ONLINE_TOKENS = 24
+FLOOD_JOBS = 10
+ITEMS_PER_JOB = 700
 WAIT_S = 60.0
 ITEM_TOKENS = 16
-# What the flood had in flight before the calm workspace came is left out, and the
-# end, when the calm one has no more items that wait.
-FIRST_SHARE = 0.15
-LAST_SHARE = 0.85
+# Shares of the calm job between which tokens are counted. Before, the flood has all
+# slots; afterwards, the calm workspace has no items left in the queue.
+START_SHARE = 0.15
+END_SHARE = 0.85
 
 
 def run():
-    """Print the spreads, and return pairs of a name and a spread."""
+    """Print the relative differences of tokens, and return them with their names."""
     online = simulation.run(_run_online())
     batch = [
         (f"batch, {entries} entries", asyncio.run(_run_batch(entries)))
@@ -46,24 +46,26 @@
     return spreads
 
 
-async def _request(engine, scheme, served, workspace, number):
-    """Send one online request and count the lines of tokens that it gets."""
+async def _send_online_request(
+    engine, admission_control, token_counts, workspace, number
+):
+    """Send one online request and count the token lines that it receives."""
     work = policy_traffic.make_work(
-        "online", number, "x" * 400, TOKENS, workspace=workspace
+        "online", number, "x" * 400, ONLINE_TOKENS, workspace=workspace
     )
     with contextlib.suppress(exception.RefusedError):
-        async for line in work.run(engine, scheme):
-            served[workspace] += b'"texts"' in line
+        async for line in work.run(engine, admission_control):
+            token_counts[workspace] += b'"texts"' in line
 
 
 async def _run_online():
     engine = simulation.SimulatedEngine()
     await engine.start()
     clock = asyncio.get_running_loop().time
-    scheme = admission.Admission(
+    admission_control = admission.Admission(
         MAX_ONLINE, MAX_QUEUE, limiter.FixedLimiter(0), clock=clock
     )
-    served = collections.Counter()
+    token_counts = collections.Counter()
     rng = random.Random(1)
     tasks = set()
 
@@ -73,19 +75,21 @@
             await asyncio.sleep(rng.expovariate(rate))
             number += 1
             name = f"{workspace}{number}"
-            request = _request(engine, scheme, served, workspace, name)
+            request = _send_online_request(
+                engine, admission_control, token_counts, workspace, name
+            )
             task = asyncio.ensure_future(request)
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
     for workspace, factor in ((CALM, 1), (FLOOD, FLOOD_FACTOR)):
-        tasks.add(asyncio.ensure_future(send(workspace, CALM_RATE * factor)))
+        tasks.add(asyncio.ensure_future(send(workspace, CALM_REQUESTS_PER_S * factor)))
     await asyncio.sleep(ONLINE_S)
     for task in list(tasks):
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
     await engine.close()
-    return served[CALM], served[FLOOD]
+    return token_counts[CALM], token_counts[FLOOD]
 
 
 async def _run_batch(entries):
@@ -94,28 +98,28 @@
     )
     await deployment.start()
     try:
-        jobs = [await _submit(deployment, "b", n) for n in range(JOBS_OF_FLOOD)]
+        jobs = [await _submit(deployment, "b", n) for n in range(FLOOD_JOBS)]
         job = await _submit(deployment, "a", 0)
-        first = await _wait_share(deployment, job, jobs, FIRST_SHARE)
-        last = await _wait_share(deployment, job, jobs, LAST_SHARE)
+        first = await _wait_for_share(deployment, job, jobs, START_SHARE)
+        last = await _wait_for_share(deployment, job, jobs, END_SHARE)
         return [(b - a) * ITEM_TOKENS for a, b in zip(first, last, strict=True)]
     finally:
         await deployment.close()
 
 
-async def _wait_share(deployment, job, jobs, share):
-    """Return the items done of both once a share of the calm one's is done."""
+async def _wait_for_share(deployment, job, jobs, share):
+    """Return the completed items of both workspaces once `job` reaches a share."""
 
-    async def is_far():
+    async def count_at_share():
         done = await _count_done(deployment, "a", [job])
-        return done if done >= ITEMS_OF_JOB * share else None
+        return done if done >= ITEMS_PER_JOB * share else None
 
-    calm = await deployment.wait_for(is_far, timeout_s=WAIT_S)
+    calm = await deployment.wait_for(count_at_share, timeout_s=WAIT_S)
     return calm, await _count_done(deployment, "b", jobs)
 
 
 async def _submit(deployment, workspace, number):
-    lines = embedded.make_job_lines(ITEMS_OF_JOB, max_tokens=ITEM_TOKENS)
+    lines = embedded.make_job_lines(ITEMS_PER_JOB, max_tokens=ITEM_TOKENS)
     answer = await deployment.submit(
         lines, f"{workspace}-{number}", token=deployment.tokens[workspace]
     )
--- a/benchmarks/policy_runs.py
+++ b/benchmarks/policy_runs.py
@@ -1,4 +1,4 @@
-"""Runs of the policies against an engine in virtual time and the one over HTTP."""
+"""Runs of the policies against a simulated engine and a fake engine over HTTP."""
 
 import asyncio
 import concurrent.futures
@@ -30,7 +30,7 @@
 
 BASE_MS = 20.0
 SLOPE = 0.02
-READ_US = 20.0
+PREFILL_US_PER_CHAR = 20.0
 MAX_RUNNING = 64
 MAX_BATCH = 32
 MAX_ONLINE = 64
@@ -52,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """A limiter to be made, and the bounds that the admission has.
+    """A limiter and its settings.
 
     Attributes:
-        kind: Name of the limiter.
-        value: Its setting.
-        max_batch: Most batch items at the engine.
+        kind: Kind of the limiter.
+        value: Parameter of the limiter.
+        max_batch: Maximum number of batch items at the engine.
     """
 
     kind: str
@@ -65,7 +65,7 @@
     max_batch: int = MAX_BATCH
 
     def make_limiter(self, clock):
-        """Return the limiter."""
+        """Return a new limiter."""
         if self.kind == "fixed":
             return limiter.FixedLimiter(self.value)
         if self.kind == "yielding":
@@ -79,8 +79,8 @@
         return model.make_limiter(self.value, self.max_batch, clock)
 
     def make_admission(self, clock):
-        """Return the admission."""
-        # First come first served means that nothing is kept free for online.
+        """Return a new admission with this limiter."""
+        # First come, first served reserves no slots for online requests.
         fifo = self.kind == "fixed" and self.value == MAX_RUNNING
         return admission.Admission(
             MAX_ONLINE,
@@ -109,44 +109,44 @@
 
 @dataclasses.dataclass
 class Row:
-    """One policy under one kind of traffic.
+    """The result of one policy under one kind of traffic.
 
     Attributes:
         outcome: `policy_traffic.Outcome`.
-        read_s: Seconds in which the engine read online prompts.
+        prefill_s: Seconds that the engine spent on the prefill of online prompts.
     """
 
     outcome: policy_traffic.Outcome
-    read_s: float
+    prefill_s: float
 
-    def compute_harvest(self, rate, online):
-        """Return batch tokens as a share of the capacity that online left.
+    def compute_utilization(self, rate, online):
+        """Return batch tokens as a share of the capacity not used by online requests.
 
         Args:
             rate: Tokens a second of an engine with batch alone.
-            online: `Row` without batch: the work that online asks for.
+            online: `Row` of the same traffic without batch.
         """
-        time_s = self.outcome.duration_s - online.read_s
-        idle = rate * time_s - online.outcome.online_tokens
-        return self.outcome.batch_tokens / idle
-
-    def compute_free_harvest(self, rate):
-        """Return the same for the time without any online request."""
-        idle = rate * self.outcome.free_s
-        return self.outcome.free_tokens / idle if idle else math.nan
-
-    def compute_ratios(self, base, name):
-        """Return p50, p95 and p99 of times as ratios to those of `base`."""
-        own = getattr(self.outcome, name)
-        other = getattr(base.outcome, name)
+        time_s = self.outcome.duration_s - online.prefill_s
+        spare_tokens = rate * time_s - online.outcome.online_tokens
+        return self.outcome.batch_tokens / spare_tokens
+
+    def compute_free_utilization(self, rate):
+        """Return the share of the capacity used while no online request is present."""
+        spare_tokens = rate * self.outcome.free_s
+        return self.outcome.free_tokens / spare_tokens if spare_tokens else math.nan
+
+    def compute_ratios(self, baseline, name):
+        """Return the ratios of p50, p95 and p99 of a list of times to `baseline`."""
+        own_values = getattr(self.outcome, name)
+        baseline_values = getattr(baseline.outcome, name)
         return [
-            compute_quantile(own, q) / compute_quantile(other, q)
+            compute_quantile(own_values, q) / compute_quantile(baseline_values, q)
             for q in (0.5, 0.95, 0.99)
         ]
 
 
 def compute_quantile(values, share):
-    """Return the value below which a share of the values lies, or nan.
+    """Return the value below which a share of the values lies; NaN without values.
 
     Examples:
         >>> compute_quantile([3, 1, 2], 0.5)
@@ -163,7 +163,9 @@
 
 
 async def _simulate(policy, traffic, duration_s, seed):
-    engine = simulation.SimulatedEngine(BASE_MS, SLOPE, READ_US, MAX_RUNNING)
+    engine = simulation.SimulatedEngine(
+        BASE_MS, SLOPE, PREFILL_US_PER_CHAR, MAX_RUNNING
+    )
     await engine.start()
     clock = asyncio.get_running_loop().time
     outcome = await policy_traffic.drive(
@@ -180,12 +182,12 @@
 
 
 def run_live(policy, traffic, duration_s, seed=1):
-    """Run a policy against the stand-in over HTTP and return its `Row`."""
+    """Run a policy against the fake engine over HTTP and return its `Row`."""
     settings = {
         "base_step_ms": BASE_MS,
         "slope": SLOPE,
         "max_running": MAX_RUNNING,
-        "prefill_us_per_char": READ_US,
+        "prefill_us_per_char": PREFILL_US_PER_CHAR,
         "models": json.dumps([policy_traffic.MODEL]),
     }
     command = [sys.executable, "-m", "pimentowick.fakes", "engine"]
@@ -217,11 +219,11 @@
     await streams.close()
     await control.close()
     characters = traffic.prompt * len(outcome.first_ms) if traffic else 0
-    return Row(outcome, characters * READ_US / 1e6)
+    return Row(outcome, characters * PREFILL_US_PER_CHAR / 1e6)
 
 
 def run_many(function, cases, workers):
-    """Return the results of `function` by the keys of `cases`, run beside others."""
+    """Call `function` for all cases in worker processes; return the results by key."""
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         futures = {
             key: pool.submit(functools.partial(function, *case))
--- a/benchmarks/policy_traffic.py
+++ b/benchmarks/policy_traffic.py
@@ -1,4 +1,4 @@
-"""Online and batch traffic through an agent's admission, and what came of it."""
+"""Generates online and batch traffic for an agent's admission and measures it."""
 
 import asyncio
 import dataclasses
@@ -11,23 +11,23 @@
 __all__ = ["MODEL", "WARM_UP_S", "Item", "Outcome", "Traffic", "drive", "make_work"]
 
 HEARTBEAT_S = 0.5
-MESSAGE_S = 0.001
+MESSAGE_DELAY_S = 0.001
 WARM_UP_S = 6.0
 MODEL = "model"
 
 
 @dataclasses.dataclass(frozen=True)
 class Traffic:
-    """Online requests that arrive at random, in bursts or all the time.
+    """Online requests with Poisson arrivals, continuously or in on-off periods.
 
     Attributes:
-        rate: Mean arrivals a second while it is on.
-        on_s: Seconds for which it is on; 0 for always.
-        off_s: Seconds for which it is off.
-        burst: Requests that arrive together each time it goes on.
-        prompt: Characters of a prompt.
-        prefixes: Number of beginnings that the prompts share; 0 for none.
-        tokens: Tokens of an answer.
+        rate: Mean arrivals a second in an on period.
+        on_s: Length of an on period in seconds; 0 for continuous traffic.
+        off_s: Length of an off period in seconds.
+        burst: Requests that arrive together at the start of an on period.
+        prompt: Length of a prompt in characters.
+        prefixes: Number of distinct prefixes shared by the prompts; 0 for none.
+        tokens: Tokens of a response.
     """
 
     rate: float
@@ -49,7 +49,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Item:
-    """What the batch items are like."""
+    """Size of batch items.
+
+    Attributes:
+        prompt: Length of a prompt in characters.
+        tokens: Tokens of a response.
+    """
 
     prompt: int = 400
     tokens: int = 64
@@ -57,21 +62,21 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What was measured after the warm-up.
+    """Measurements after the warm-up.
 
     Attributes:
-        first_ms: Times to the first token of online requests.
-        burst_ms: Those of the requests that arrived together after a pause.
+        first_ms: Times to first token of online requests.
+        burst_ms: Times to first token of the online requests of bursts.
         gap_ms: Times between tokens of online requests.
         online_tokens: Tokens of online requests.
         batch_tokens: Tokens of batch items.
-        free_tokens: Those that came while no online request was there.
-        free_s: Seconds in which no online request was there.
-        refill_s: Seconds from the end of the last online request until the engine
-            ran all the batch items that it may.
-        refused: Online requests without an answer.
-        preemptions: Batch items preempted.
-        duration_s: Seconds measured.
+        free_tokens: Tokens of batch items while no online request was present.
+        free_s: Seconds in which no online request was present.
+        refill_s: Seconds from the end of the last online request until the batch
+            items at the engine reached the limit of the policy.
+        refused: Number of refused online requests.
+        preemptions: Number of preemptions of batch items.
+        duration_s: Length of the measurement in seconds.
     """
 
     first_ms: list = dataclasses.field(default_factory=list)
@@ -123,7 +128,7 @@
         self.outcome.preemptions = self.admission.preemptions - preemptions
         self.outcome.duration_s = self._end_at - self._begin_at
         if self._free_since is not None:
-            self._add_free()
+            self._add_free_time()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -148,7 +153,7 @@
         sent_at = self._loop.time()
         last_at = None
         measured = self.is_measured
-        self._note_online()
+        self._on_online_start()
         try:
             async for line in work.run(self.target, self.admission):
                 now = self._loop.time()
@@ -164,39 +169,39 @@
         except exception.RefusedError:
             self.outcome.refused += 1
         finally:
-            self._note_offline()
+            self._on_online_end()
 
-    def _note_online(self):
+    def _on_online_start(self):
         if self._free_since is not None:
-            self._add_free()
+            self._add_free_time()
             self._free_since = None
 
-    def _add_free(self):
+    def _add_free_time(self):
         since = max(self._free_since, self._begin_at)
         self.outcome.free_s += max(0.0, min(self._loop.time(), self._end_at) - since)
 
-    def _note_offline(self):
+    def _on_online_end(self):
         if self.admission.count_online() == 0 and self._free_since is None:
             self._free_since = self._loop.time()
             if self.admission.max_batch and self.is_measured:
                 self.start_child(self._watch_refill(self._free_since))
 
     async def _watch_refill(self, since):
-        full = self.admission.limiter.get_limit(0)
+        batch_limit = self.admission.limiter.get_limit(0)
         while self._free_since == since:
-            if len(self.admission.batch) >= full:
+            if len(self.admission.batch) >= batch_limit:
                 self.outcome.refill_s.append(self._loop.time() - since)
                 return
             await asyncio.sleep(0.01)
 
     async def _send_batch(self):
-        """Dispatch like an entry: by the places that heartbeats told of."""
+        """Dispatch like an entry, by the free slots reported in heartbeats."""
         self.start_child(self._send_heartbeats())
         while True:
             while self._in_flight < self._window:
                 self._in_flight += 1
                 self.start_child(self._run_batch())
-            await asyncio.sleep(MESSAGE_S)
+            await asyncio.sleep(MESSAGE_DELAY_S)
 
     async def _send_heartbeats(self):
         while True:
@@ -219,7 +224,7 @@
 
 
 def make_work(priority, number, prompt, tokens, workspace="workspace"):
-    """Return the work that an entry would ask for."""
+    """Return a unit of work as an entry sends it to an agent."""
     envelope = agent_work.Envelope(
         request_id=f"{priority}/{number}",
         attempt=1,
@@ -236,15 +241,15 @@
 
 
 async def drive(target, admission, traffic, item, duration_s, seed=1):
-    """Send traffic through an admission, and return the `Outcome`.
+    """Send traffic through an admission and return the `Outcome`.
 
     Args:
         target: `pimentowick.external.engine.Engine`.
         admission: `pimentowick.scheduling.admission.Admission`.
         traffic: `Traffic`, or None for batch alone.
         item: `Item`.
-        duration_s: Seconds that are measured after the warm-up.
-        seed: Seed of the arrivals; the same for all policies of a comparison.
+        duration_s: Length of the measurement after the warm-up, in seconds.
+        seed: Seed of the arrivals.
     """
     driver = _Driver(target, admission, traffic, item, duration_s, seed)
     return await driver.run()
