--- a/pimentowick/tests/test_metrics.py
+++ b/pimentowick/tests/test_metrics.py
@@ -24,7 +24,7 @@
     return values_by_series
 
 
-def get(metrics, name, **labels):
+def get_value(metrics, name, **labels):
     return metrics.get((f"pimentowick_{name}", frozenset(labels.items())), 0.0)
 
 
@@ -45,24 +45,25 @@
         job = (await fleet.submit(embedded.make_job_lines(20), "k")).decode()
         await fleet.wait_for_job(job["id"])
         entry = await read_metrics(fleet, fleet.entries["entry-0"].address)
-        assert get(entry, "entry_requests_total", outcome="answered") == 1
+        assert get_value(entry, "entry_requests_total", outcome="answered") == 1
         refusal_labels = {"code": "unknown_model", "verdict": "not_run"}
-        assert get(entry, "entry_refusals_total", **refusal_labels) == 1
-        assert get(entry, "entry_log_appends_total", outcome="done") > 0
-        assert get(entry, "entry_configuration_version_offset") > 0
+        assert get_value(entry, "entry_refusals_total", **refusal_labels) == 1
+        assert get_value(entry, "entry_log_appends_total", outcome="done") > 0
+        assert get_value(entry, "entry_configuration_version_offset") > 0
         entry_metrics = [
             await read_metrics(fleet, e.address) for e in fleet.entries.values()
         ]
         total = sum(
-            get(m, "entry_items_total", outcome="succeeded") for m in entry_metrics
+            get_value(m, "entry_items_total", outcome="succeeded")
+            for m in entry_metrics
         )
         assert total == 20
-        assert sum(get(m, "entry_claims_total") for m in entry_metrics) == 1
-        assert sum(get(m, "entry_owned_shards") for m in entry_metrics) == 1
+        assert sum(get_value(m, "entry_claims_total") for m in entry_metrics) == 1
+        assert sum(get_value(m, "entry_owned_shards") for m in entry_metrics) == 1
         agents = [await read_metrics(fleet, a.address) for a in fleet.agents.values()]
         admitted = "agent_admitted_total"
-        assert sum(get(m, admitted, priority="batch") for m in agents) == 20
-        assert sum(get(m, admitted, priority="online") for m in agents) == 1
+        assert sum(get_value(m, admitted, priority="batch") for m in agents) == 20
+        assert sum(get_value(m, admitted, priority="online") for m in agents) == 1
         for metrics in [*entry_metrics, *agents]:
             check_names(metrics)
 
--- a/pimentowick/tests/test_pages.py
+++ b/pimentowick/tests/test_pages.py
@@ -73,10 +73,14 @@
 
 
 def test_peer_paths_require_a_certificate():
-    found = {path: each for path, each in list_handlers().items() if "/peer/" in path}
-    assert found
-    for path, each in found.items():
-        assert issubclass(each, handler.PeerHandler), path
+    handlers = {
+        path: handler_class
+        for path, handler_class in list_handlers().items()
+        if "/peer/" in path
+    }
+    assert handlers
+    for path, handler_class in handlers.items():
+        assert issubclass(handler_class, handler.PeerHandler), path
 
 
 def test_api_page_names_every_path():
@@ -92,27 +96,27 @@
 
 def test_api_page_names_every_error_with_its_status():
     rows = set(ERROR_ROW.findall(pages.read_page("API.md")))
-    found = set()
+    codes = set()
     for path in (pages.ROOT / "pimentowick").rglob("*.py"):
         if NON_SERVING_FOLDERS.isdisjoint(path.relative_to(pages.ROOT).parts):
-            found.update(
+            codes.update(
                 find_refusal_codes(ast.parse(path.read_text(encoding="utf-8")))
             )
-    assert len(found) > 30
-    assert found <= rows
+    assert len(codes) > 30
+    assert codes <= rows
     text = "".join(
         path.read_text(encoding="utf-8")
         for path in (pages.ROOT / "pimentowick").rglob("*.py")
         if "tests" not in path.parts
     )
-    for code, _ in rows - found:
+    for code, _ in rows - codes:
         # Codes with a placeholder, such as unknown_model, are built by an f-string.
         assert f'"{code}"' in text or 'f"unknown_{kind}"' in text
 
 
 def find_refusal_codes(tree):
     """Return pairs of code and status of the refusals constructed with literals."""
-    found = set()
+    codes = set()
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call):
             continue
@@ -120,10 +124,10 @@
         values = [getattr(each, "value", None) for each in node.args]
         if name == "Refusal" and len(values) > 1 and isinstance(values[1], str):
             if values[0] is not None:
-                found.add((values[1], str(values[0])))
+                codes.add((values[1], str(values[0])))
         elif name == "refuse_input" and len(values) > 1:
-            found.add((values[1], str(values[2] if len(values) > 2 else 400)))
-    return found
+            codes.add((values[1], str(values[2] if len(values) > 2 else 400)))
+    return codes
 
 
 def test_library_page_examples_do_not_import_the_daemons(tmp_path):
--- a/pimentowick/tests/test_paired_plays.py
+++ b/pimentowick/tests/test_paired_plays.py
@@ -27,19 +27,19 @@
     write_journal_entry(tmp_path / "old", "1", [("a", 1, 0.8, {}), ("b", 1, 0.7, {})])
     write_journal_entry(tmp_path / "new", "1", [("a", 1, 0.85, {}), ("b", 2, 0.1, {})])
     old, new = (paired_plays.read_plays(tmp_path / name) for name in ("old", "new"))
-    found = paired_plays.compare(old, new)
-    assert found.pairs == 1
-    assert math.isclose(found.worth, 0.05)
-    assert math.isinf(found.error) and not found.is_clear
-    assert math.isclose(found.parts["whole day"], 0.05)
-    assert found.prices["cloud calls"] == 0.0
+    comparison = paired_plays.compare(old, new)
+    assert comparison.pairs == 1
+    assert math.isclose(comparison.worth, 0.05)
+    assert math.isinf(comparison.error) and not comparison.is_clear
+    assert math.isclose(comparison.parts["whole day"], 0.05)
+    assert comparison.prices["cloud calls"] == 0.0
 
 
 def test_newest_play_of_a_day_is_used_and_older_entries_can_be_skipped(tmp_path):
     write_journal_entry(tmp_path, "1", [("a", 1, 0.1, {})])
     write_journal_entry(tmp_path, "2", [("a", 1, 0.9, {})])
-    (found,) = paired_plays.read_plays(tmp_path).values()
-    assert found.worth == 0.9
+    (play,) = paired_plays.read_plays(tmp_path).values()
+    assert play.worth == 0.9
     assert not paired_plays.read_plays(tmp_path, since="3")
 
 
@@ -63,5 +63,5 @@
 
 def test_days_that_broke_rules_are_marked(tmp_path):
     write_journal_entry(tmp_path, "1", [("a", 1, 0.8, {"LOST": 1})])
-    found = paired_plays.read_plays(tmp_path)
-    assert "0.800!" in paired_plays.make_table({"one": found})
+    plays = paired_plays.read_plays(tmp_path)
+    assert "0.800!" in paired_plays.make_table({"one": plays})
--- a/pimentowick/tests/test_planned_stop.py
+++ b/pimentowick/tests/test_planned_stop.py
@@ -42,10 +42,10 @@
         for name, each in self.processes.processes.items():
             if name.startswith((embedded.MODEL, embedded.SERVICE)):
                 answer = await self.client.fetch("GET", each.address, "/runs")
-                found = answer.decode()
+                counts = answer.decode()
                 self.targets[name] = types.SimpleNamespace(
-                    runs=collections.Counter(found["runs"]),
-                    keys=collections.Counter(found.get("keys", {})),
+                    runs=collections.Counter(counts["runs"]),
+                    keys=collections.Counter(counts.get("keys", {})),
                 )
 
 
@@ -117,7 +117,7 @@
     """
     headers = {"Authorization": f"Bearer {fleet.tokens['a']}"}
     body = {"model": embedded.MODEL, "prompt": "late", "max_tokens": 1}
-    found = collections.Counter()
+    status_counts = collections.Counter()
     while True:
         try:
             answer = await fleet.client.fetch(
@@ -125,8 +125,8 @@
             )
         except http_client.TransportError as error:
             assert error.verdict is verdict.Verdict.NOT_RUN
-            return found
-        found[answer.status] += 1
+            return status_counts
+        status_counts[answer.status] += 1
         if answer.status != 200:
             assert answer.decode()["error"]["verdict"] == "not_run"
 
