--- a/benchmarks/capacity_failures.py
+++ b/benchmarks/capacity_failures.py
@@ -42,7 +42,7 @@
 
 
 async def _measure_takeover(shards):
-    fleet = embedded.Embedded(
+    fleet = embedded.EmbeddedDeployment(
         entries=3,
         services=0,
         entry_settings={"shards": shards, "takeover_s": TAKEOVER_S},
--- a/benchmarks/capacity_platform.py
+++ b/benchmarks/capacity_platform.py
@@ -77,7 +77,7 @@
         self.appends = 0
         self.records = 0
 
-    def read(self, stream, offset, limit=log.DEFAULT_LIMIT):
+    def read(self, stream, offset, limit=log.DEFAULT_READ_LIMIT):
         self.reads += 1
         found = super().read(stream, offset, limit)
         self.records += len(found)
--- a/benchmarks/policy_fairness.py
+++ b/benchmarks/policy_fairness.py
@@ -89,7 +89,7 @@
 
 
 async def _run_batch(entries):
-    deployment = embedded.Embedded(
+    deployment = embedded.EmbeddedDeployment(
         entries=entries, engines=2, services=0, engine_settings={"base_step_ms": 8}
     )
     await deployment.start()
--- a/benchmarks/policy_runs.py
+++ b/benchmarks/policy_runs.py
@@ -113,11 +113,11 @@
 
     Attributes:
         outcome: `policy_traffic.Outcome`.
-        read_s: Seconds in which the engine read online prompts.
+        prefill_s: Seconds in which the engine read online prompts.
     """
 
     outcome: policy_traffic.Outcome
-    read_s: float
+    prefill_s: float
 
     def compute_harvest(self, rate, online):
         """Return batch tokens as a share of the capacity that online left.
@@ -126,7 +126,7 @@
             rate: Tokens a second of an engine with batch alone.
             online: `Row` without batch: the work that online asks for.
         """
-        time_s = self.outcome.duration_s - online.read_s
+        time_s = self.outcome.duration_s - online.prefill_s
         idle = rate * time_s - online.outcome.online_tokens
         return self.outcome.batch_tokens / idle
 
@@ -176,7 +176,7 @@
     )
     await engine.close()
     share = duration_s / (duration_s + policy_traffic.WARM_UP_S)
-    return Row(outcome, engine.read_s["online"] * share)
+    return Row(outcome, engine.prefill_s["online"] * share)
 
 
 def run_live(policy, traffic, duration_s, seed=1):
--- a/pimentowick/agent/tests/test_daemon.py
+++ b/pimentowick/agent/tests/test_daemon.py
@@ -60,7 +60,7 @@
     envelope |= {"priority": "online", "deadline_s": 60.0}
     generation = {"model": embedded.MODEL, "adapter": None, "prompt": "x"}
     body = {"envelope": envelope, "generate": generation | {"max_tokens": PIECES}}
-    return await fake_callers.open_unread(address, "/work", body)
+    return await fake_callers.post_without_reading(address, "/work", body)
 
 
 def last_line(data):
--- a/pimentowick/cli/tests/test_commands.py
+++ b/pimentowick/cli/tests/test_commands.py
@@ -48,7 +48,7 @@
 
 def run(directory, check, **settings):
     async def run_check():
-        fleet = embedded.Embedded(**settings)
+        fleet = embedded.EmbeddedDeployment(**settings)
         shell = Shell(directory)
         try:
             await fleet.start()
--- a/pimentowick/entry/tests/durability.py
+++ b/pimentowick/entry/tests/durability.py
@@ -22,7 +22,7 @@
     """Run a coroutine function with an embedded deployment."""
 
     async def run_check():
-        fleet = embedded.Embedded(**settings)
+        fleet = embedded.EmbeddedDeployment(**settings)
         try:
             await fleet.start()
             await check(fleet)
@@ -139,5 +139,5 @@
     assert names == sorted(f"{prefix}-{number}" for number in range(count))
     for result in results:
         content = result["response"]["body"]["choices"][0]["message"]["content"]
-        expected = engine.expect_text(f"user: {result['custom_id']}", tokens)
+        expected = engine.make_expected_text(f"user: {result['custom_id']}", tokens)
         assert content == expected
--- a/pimentowick/entry/tests/test_cancel.py
+++ b/pimentowick/entry/tests/test_cancel.py
@@ -115,13 +115,13 @@
 
     async def check(fleet):
         job_id, owner, _ = await start_job(fleet)
-        fleet.log.board.place(faults.Order("down"))
+        fleet.log.fault_injector.inject(faults.Fault("down"))
         path = f"/v1/batches/{job_id}/cancel"
         for entry in fleet.entries:
             answer = await fleet.fetch("POST", path, {}, entry=entry, timeout_s=15)
             assert answer.status == 503
             assert answer.decode()["error"]["verdict"] == "may_have_run"
-        fleet.log.board.place(faults.Order("clear"))
+        fleet.log.fault_injector.inject(faults.Fault("clear"))
         runs, counts = await check_stopped(fleet, job_id, owner)
         await check_still_stopped(fleet, job_id, owner, runs, counts)
 
@@ -157,7 +157,7 @@
     """
 
     async def check(fleet):
-        async with relay.put_relays(fleet, "agent") as relays:
+        async with relay.insert_relays(fleet, "agent") as relays:
             job_id, owner, _ = await start_job(fleet)
             for each in relays:
                 each.hold()
--- a/pimentowick/entry/tests/test_completion.py
+++ b/pimentowick/entry/tests/test_completion.py
@@ -57,7 +57,7 @@
                 await fleet.submit(lines, key, entry=name)
             await fleet.wait_for(lambda gone=gone: gone)
             await gone[0]
-            await fleet.unlist_host(name)
+            await fleet.unregister_host(name)
             job_id = await submit_until_accepted(fleet, lines, key)
             await durability.check_results(fleet, job_id, 250)
         followed = fleet.entries["entry-0"].table.followed.values()
@@ -192,13 +192,13 @@
         lines = embedded.make_job_lines(100, 10)
         job_id = (await fleet.submit(lines, "k")).decode()["id"]
         await fleet.wait_for(lambda: durability.get_runs(fleet, job_id))
-        fleet.log.board.place(faults.Order("down"))
+        fleet.log.fault_injector.inject(faults.Fault("down"))
         late = await fleet.submit(embedded.make_job_lines(5, prefix="late"), "late")
         assert late.status == 503
         assert late.decode()["error"]["verdict"] == "may_have_run"
         again = await fleet.submit(lines, "k")
         assert again.status == 202 and again.decode()["id"] == job_id
-        fleet.log.board.place(faults.Order("clear"))
+        fleet.log.fault_injector.inject(faults.Fault("clear"))
         await durability.check_results(fleet, job_id, 100, 10)
         late_lines = embedded.make_job_lines(5, prefix="late")
         late_id = await submit_until_accepted(fleet, late_lines, "late")
@@ -218,21 +218,21 @@
         done = (await fleet.submit(embedded.make_job_lines(30), "done")).decode()["id"]
         await fleet.wait_for_job(done)
         await fleet.crash("agent-lm-0")
-        await fleet.unlist_host("agent-lm-0")
+        await fleet.unregister_host("agent-lm-0")
         lines = embedded.make_job_lines(30, 6, "slow")
         slow = (await fleet.submit(lines, "slow")).decode()["id"]
-        heads = {f"shard-{n}": fleet.log.measure(f"shard-{n}")[1] for n in (0, 1)}
-        heads["configuration"] = fleet.log.measure("configuration")[1]
+        heads = {f"shard-{n}": fleet.log.get_offsets(f"shard-{n}")[1] for n in (0, 1)}
+        heads["configuration"] = fleet.log.get_offsets("configuration")[1]
 
         def is_dropped():
-            return all(fleet.log.measure(s)[0] >= head for s, head in heads.items())
+            return all(fleet.log.get_offsets(s)[0] >= head for s, head in heads.items())
 
         await fleet.wait_for(is_dropped, 4 * RETENTION_S)
         await fleet.add_entry("new")
         await fleet.wait_for(fleet.is_ready)
         for name in ("entry-0", "entry-1"):
             await fleet.crash(name)
-            await fleet.unlist_host(name)
+            await fleet.unregister_host(name)
         await fleet.add_agent("agent-again", "lm-0", "engine", embedded.MODEL)
         await durability.check_results(fleet, done, 30)
         await durability.check_results(fleet, slow, 30, 6, prefix="slow")
@@ -269,7 +269,7 @@
         await fleet.crash("agent-lm-0")
         job_id = (await fleet.submit(embedded.make_job_lines(5), "k")).decode()["id"]
         for number in (0, 1):
-            head = fleet.log.measure(f"shard-{number}")[1]
+            head = fleet.log.get_offsets(f"shard-{number}")[1]
             fleet.log.truncate(f"shard-{number}", head)
         await fleet.add_agent("agent-again", "lm-0", "engine", embedded.MODEL)
         job = await fleet.wait_for_job(job_id)
@@ -311,7 +311,7 @@
         job_id = (await fleet.submit(embedded.make_job_lines(5), "k")).decode()["id"]
         await fleet.wait_for_job(job_id)
         assert len(await fleet.read_results(job_id)) == 5
-        fleet.log.board.place(faults.Order("freeze"))
+        fleet.log.fault_injector.inject(faults.Fault("freeze"))
         assert len(await fleet.read_results(job_id, timeout_s=30)) == 5
 
     embedded.run(check)
--- a/pimentowick/entry/tests/test_job.py
+++ b/pimentowick/entry/tests/test_job.py
@@ -17,7 +17,7 @@
         assert len(results) == 40
         for result in results:
             body = result["response"]["body"]
-            expected = engine.expect_text(f"user: {result['custom_id']}", 4)
+            expected = engine.make_expected_text(f"user: {result['custom_id']}", 4)
             assert body["choices"][0]["message"]["content"] == expected
         hidden = await fleet.fetch(
             "GET", f"/v1/batches/{job['id']}", token=fleet.tokens["b"]
--- a/pimentowick/entry/tests/test_online.py
+++ b/pimentowick/entry/tests/test_online.py
@@ -14,8 +14,8 @@
 GENERATE = "/generate"
 
 
-def place(target, kind, **fields):
-    target.board.place(faults.Order(kind, **fields))
+def inject(target, kind, **fields):
+    target.fault_injector.inject(faults.Fault(kind, **fields))
 
 
 def list_engines(fleet):
@@ -31,7 +31,7 @@
             done.append(True)
             for each in list_engines(fleet):
                 if each.running:
-                    place(each, kind, count=1, path=GENERATE)
+                    inject(each, kind, count=1, path=GENERATE)
 
     return on_text
 
@@ -68,7 +68,7 @@
             for ask in (callers.chat, callers.stream)
         ]
         outcomes = await asyncio.gather(*calls)
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
 
     run(check, engines=0)
 
@@ -84,7 +84,7 @@
     async def check(fleet, callers):
         on_text = break_once(fleet, kind)
         outcome = await callers.stream("break", 60, on_text=on_text)
-        assert outcome.whole
+        assert outcome.complete
         assert callers.count_runs(outcome.request_id) == 2
 
     run(check, agent_settings={"idle_s": 0.5})
@@ -102,7 +102,7 @@
                 crashes.append(asyncio.ensure_future(fleet.crash(busy[0])))
 
         outcome = await callers.stream("break", 60, on_text=on_text)
-        assert outcome.whole and crashes
+        assert outcome.complete and crashes
 
     run(check)
 
@@ -117,11 +117,11 @@
     async def check(fleet, callers):
         def on_text(outcome):
             for each in list_engines(fleet):
-                if not each.board.orders:
-                    place(each, "cut", path=GENERATE)
+                if not each.fault_injector.active_faults:
+                    inject(each, "cut", path=GENERATE)
 
         outcome = await callers.stream("break", 60, on_text=on_text)
-        assert outcome.text and not outcome.whole
+        assert outcome.text and not outcome.complete
         assert outcome.verdict == "may_have_run"
         assert outcome.error["retry_after"]
 
@@ -148,7 +148,7 @@
             if kind == "closed":
                 await target.close()
             else:
-                place(target, kind)
+                inject(target, kind)
         outcomes = [await callers.chat("x"), await callers.stream("y")]
         if kind != "down":
             # A service's own 503 is its answer and is handed on as such.
@@ -165,7 +165,7 @@
     for number in range(200):
         names = sorted(fleet.entries)
         outcome = await callers.confirm(key, entry=names[number % len(names)])
-        if outcome.whole or outcome.verdict == "ran":
+        if outcome.complete or outcome.verdict == "ran":
             return outcome
         if outcome.verdict == "may_have_run" and fleet.targets["desk-0"].keys[key]:
             # Ran with its answer lost: nobody can ever say more.
@@ -187,7 +187,7 @@
         body = {"stand": 1, "hold_s": 0.2}
         first = asyncio.ensure_future(callers.confirm("k", body, entry="entry-1"))
         if fault in ("lose_answer", "cut"):
-            place(desk, fault, count=1)
+            inject(desk, fault, count=1)
         await fleet.wait_for(lambda: desk.keys["k"] or first.done())
         if fault == "agent":
             await fleet.crash("agent-desk-0")
@@ -195,7 +195,7 @@
         elif fault == "entry":
             await fleet.crash("entry-1")
         elif fault == "log":
-            place(fleet.log, "down", count=30)
+            inject(fleet.log, "down", count=30)
         again = asyncio.ensure_future(callers.confirm("k", body, entry="entry-0"))
         await asyncio.gather(first, again)
         await fleet.wait_for(fleet.is_ready) if fault != "entry" else None
@@ -214,12 +214,12 @@
     """
 
     async def check(fleet, callers):
-        place(fleet.log, "down")
+        inject(fleet.log, "down")
         refused = await callers.confirm("k")
         assert refused.verdict == "not_run"
-        place(fleet.log, "clear")
+        inject(fleet.log, "clear")
         outcome = await resend_until_final(fleet, callers, "k")
-        assert outcome.whole
+        assert outcome.complete
         assert fleet.targets["desk-0"].keys["k"] == 1
 
     run(check, entry_settings={"append_s": 0.5})
@@ -234,7 +234,7 @@
 
     async def check(fleet, callers):
         for name in ("desk-0", "desk-1"):
-            place(fleet.targets[name], kind, path="/confirm")
+            inject(fleet.targets[name], kind, path="/confirm")
         outcome = await callers.confirm()
         assert outcome.verdict == "may_have_run"
         assert callers.count_runs(outcome.request_id) == 1
@@ -251,7 +251,7 @@
     """
 
     async def check(fleet, callers):
-        async with relay.put_relays(fleet, "agent") as relays:
+        async with relay.insert_relays(fleet, "agent") as relays:
             for number in range(times):
                 before = [callers.chat(f"warm {number} {i}") for i in range(8)]
                 await asyncio.gather(*before, callers.confirm(f"warm {number}"))
@@ -265,7 +265,7 @@
                 after = [callers.chat(f"after {number} {i}") for i in range(8)]
                 keyed = callers.confirm(f"k{number}")
                 outcomes = await asyncio.gather(*tasks, *after, keyed)
-                assert all(outcome.whole for outcome in outcomes)
+                assert all(outcome.complete for outcome in outcomes)
 
     run(check, entry_settings={"idle_s": 0.5})
 
@@ -277,11 +277,11 @@
         await asyncio.gather(*(callers.chat(f"warm {i}") for i in range(8)))
         await callers.confirm("warm")
         for each in [*fleet.targets.values(), fleet.log]:
-            place(each, "freeze")
+            inject(each, "freeze")
         outcomes = await asyncio.gather(*(callers.chat(f"after {i}") for i in range(8)))
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
         final = await resend_until_final(fleet, callers, "k")
-        assert final.whole
+        assert final.complete
 
     run(check, agent_settings={"idle_s": 0.5}, entry_settings={"append_s": 5.0})
 
@@ -320,7 +320,7 @@
         (target,) = list_engines(fleet)
         agent = fleet.agents["agent-lm-0"]
         # With nothing to write, no failed write can tell that the caller has gone.
-        place(target, "stall", path=GENERATE)
+        inject(target, "stall", path=GENERATE)
         streams = [callers.open_stream(f"leave {i}", 512) for i in range(3)]
         chats = [asyncio.ensure_future(callers.chat(f"go {i}", 512)) for i in range(3)]
         await fleet.wait_for(lambda: agent.admission.count_online() == 6)
@@ -339,8 +339,8 @@
             ),
             timeout_s=5.0,
         )
-        place(target, "clear")
-        assert (await callers.chat("next")).whole
+        inject(target, "clear")
+        assert (await callers.chat("next")).complete
 
     small = {"target": {"max_online": 4, "max_batch": 2}}
     run(check, engines=1, agent_settings={**small, "idle_s": 60.0})
@@ -354,16 +354,16 @@
 
     async def check(fleet, callers):
         for each in list_engines(fleet):
-            place(each, "down")
+            inject(each, "down")
         await fleet.crash("agent-lm-0")
         await fleet.add_agent("agent-lm-0", "lm-0", "engine", embedded.MODEL)
         refused = await callers.chat("x")
         assert refused.verdict == "not_run"
         for each in list_engines(fleet):
-            place(each, "clear")
+            inject(each, "clear")
 
         async def is_answered():
-            return (await callers.chat("y")).whole
+            return (await callers.chat("y")).complete
 
         await fleet.wait_for(is_answered)
 
@@ -410,7 +410,7 @@
             "Authorization": f"Bearer {fleet.tokens['a']}",
             "X-Deadline": str(time.time() + 1.0),
         }
-        _, writer = await fake_callers.open_unread(
+        _, writer = await fake_callers.post_without_reading(
             entry.address, "/v1/completions", body, headers
         )
         await fleet.wait_for(lambda: entry.limits.running)
@@ -436,7 +436,7 @@
         first.cancel()
 
         async def is_answered():
-            return (await callers.confirm("k", body, entry="entry-1")).whole
+            return (await callers.confirm("k", body, entry="entry-1")).complete
 
         await fleet.wait_for(is_answered)
         assert desk.keys["k"] == 1
@@ -474,13 +474,13 @@
         entry = fleet.entries["entry-0"]
         call_id = record.make_call_id("a", embedded.SERVICE, "k")
         shard = entry.table.find(call_id)
-        place(fleet.log, "down")
+        inject(fleet.log, "down")
         refused = await callers.confirm("k")
         assert refused.verdict == "not_run"
-        place(fleet.log, "clear")
+        inject(fleet.log, "clear")
         claim = record.make_call_claimed(call_id, refused.request_id, "x", "d", 0.0)
         await shard.replica.append([claim], 5.0)
         outcome = await resend_until_final(fleet, callers, "k")
-        assert outcome.whole
+        assert outcome.complete
 
     run(check, entry_settings={"append_s": 0.5})
--- a/pimentowick/entry/tests/test_publish.py
+++ b/pimentowick/entry/tests/test_publish.py
@@ -146,10 +146,10 @@
 
     async def check(fleet):
         version = await publish_many(fleet, 2)
-        fleet.log.board.place(faults.Order("down"))
+        fleet.log.fault_injector.inject(faults.Fault("down"))
         hosts = dict(fleet.entries)
         for name in hosts:
-            await fleet.unlist_host(name)
+            await fleet.unregister_host(name)
         late = await fleet.add_entry("late")
         await fleet.wait_for(lambda: set(late.fleet.entries) == {"late"})
         answer = await fleet.client.fetch("GET", late.address, "/ready")
@@ -157,11 +157,11 @@
         refused = await fleet.chat("hello", entry="late")
         assert refused.decode()["error"]["verdict"] == "not_run"
         for name, entry in hosts.items():
-            await fleet.list_host(name, "entry", entry.address)
+            await fleet.register_host(name, "entry", entry.address)
         await fleet.wait_for(lambda: late.is_ready)
         assert get_version(late) == version
         assert (await fleet.chat("hello", entry="late")).status == 200
-        fleet.log.board.place(faults.Order("clear"))
+        fleet.log.fault_injector.inject(faults.Fault("clear"))
         newest = (await publish(fleet, version, 5, "late")).decode()
         assert newest["version"] > version and newest["in_force"] == 3
 
@@ -180,12 +180,12 @@
         ahead = fleet.entries["entry-0"]
         tap = durability.Tap(behind)
         tap.reads.clear()
-        await fleet.unlist_host("entry-1")
+        await fleet.unregister_host("entry-1")
         old = await ahead.configuration_replica.make_checkpoint(200_000)
         version = await publish_many(fleet, 10)
         assert get_version(behind) < version
         fleet.log.append("configuration", old)
-        dropped = fleet.log.measure("configuration")[1] - 1
+        dropped = fleet.log.get_offsets("configuration")[1] - 1
         for record in await ahead.configuration_replica.make_checkpoint(200_000):
             fleet.log.append("configuration", [record])
         fleet.log.truncate("configuration", dropped)
@@ -204,12 +204,12 @@
 
     async def check(fleet):
         version = await publish_many(fleet, 3)
-        head = fleet.log.measure("configuration")[1]
-        await fleet.wait_for(lambda: fleet.log.measure("configuration")[0] >= head)
+        head = fleet.log.get_offsets("configuration")[1]
+        await fleet.wait_for(lambda: fleet.log.get_offsets("configuration")[0] >= head)
         # Nobody is left to ask: only the log can tell.
         for name in list(fleet.entries):
             await fleet.crash(name)
-            await fleet.unlist_host(name)
+            await fleet.unregister_host(name)
         new = await fleet.add_entry("new")
         await fleet.wait_for(lambda: new.is_ready and new.fleet.peers)
         assert get_version(new) == version
--- a/pimentowick/external/tests/test_adapter.py
+++ b/pimentowick/external/tests/test_adapter.py
@@ -47,7 +47,7 @@
 def test_job_runs_on_another_log():
     async def check():
         platform = {"log_adapter": f"{__name__}:MemoryLog"}
-        fleet = embedded.Embedded(entry_settings={"platform": platform})
+        fleet = embedded.EmbeddedDeployment(entry_settings={"platform": platform})
         try:
             await fleet.start()
             answer = await fleet.submit(embedded.make_job_lines(10), "k")
--- a/pimentowick/fakes/callers.py
+++ b/pimentowick/fakes/callers.py
@@ -17,7 +17,7 @@
 __all__ = [
     "Callers",
     "Outcome",
-    "open_unread",
+    "post_without_reading",
     "run_with_callers",
 ]
 
@@ -38,7 +38,7 @@
         status: HTTP status; None if there was no answer.
         text: Text of a completion, as far as it came.
         expected: Text that a whole answer has.
-        whole: Whether the answer was whole.
+        complete: Whether the answer was whole.
         error: The ``error`` object of a refusal.
         key: Idempotency key of a call.
         body: Body of an answered call.
@@ -48,7 +48,7 @@
     status: int | None = None
     text: str = ""
     expected: str = ""
-    whole: bool = False
+    complete: bool = False
     error: dict | None = None
     key: str | None = None
     body: dict | None = None
@@ -63,7 +63,7 @@
     """Sends requests to an embedded deployment and notes how they end.
 
     Args:
-        fleet: `pimentowick.fakes.embedded.Embedded`.
+        fleet: `pimentowick.fakes.embedded.EmbeddedDeployment`.
 
     Attributes:
         outcomes: All `Outcome`, in the order in which the requests were sent.
@@ -77,7 +77,7 @@
     async def chat(self, content, max_tokens=8, **fields):
         """Ask for a completion and return its `Outcome`."""
         outcome = self._note(
-            expected=engine.expect_text(f"user: {content}", max_tokens)
+            expected=engine.make_expected_text(f"user: {content}", max_tokens)
         )
         answer = await self._fetch(
             outcome, self.fleet.chat(content, max_tokens, **fields)
@@ -85,7 +85,7 @@
         if answer is not None and answer.status == 200:
             choice = answer.decode()["choices"][0]
             outcome.text = choice["message"]["content"]
-            outcome.whole = True
+            outcome.complete = True
         return outcome
 
     async def stream(self, content, max_tokens=8, entry=None, on_text=None):
@@ -98,11 +98,11 @@
             on_text: Function called with the outcome after each piece.
         """
         outcome = self._note(
-            expected=engine.expect_text(f"user: {content}", max_tokens)
+            expected=engine.make_expected_text(f"user: {content}", max_tokens)
         )
         stream = self.open_stream(content, max_tokens, entry)
         try:
-            while not outcome.whole:
+            while not outcome.complete:
                 lines = await stream.read_lines()
                 if not lines:
                     break
@@ -147,7 +147,7 @@
         )
         if answer is not None and answer.status == 200:
             outcome.body = answer.decode()
-            outcome.whole = outcome.body["confirmed"] == sent
+            outcome.complete = outcome.body["confirmed"] == sent
         return outcome
 
     def _note(self, **fields):
@@ -188,7 +188,7 @@
         self._check_services()
 
     def _check_answer(self, outcome):
-        if outcome.whole:
+        if outcome.complete:
             assert outcome.text == outcome.expected, outcome
         # Whatever came is a beginning of the right answer.
         assert outcome.expected.startswith(outcome.text), outcome
@@ -211,7 +211,7 @@
             keys.update(target.keys)
         assert all(count == 1 for count in keys.values()), keys
         for outcome in self.outcomes:
-            if outcome.key is not None and outcome.whole:
+            if outcome.key is not None and outcome.complete:
                 assert keys[outcome.key] == 1, outcome
 
 
@@ -222,7 +222,7 @@
 
 def _take_event(outcome, line):
     if line == END_MARK:
-        outcome.whole = True
+        outcome.complete = True
         return
     if not line.startswith(DATA):
         data = orjson.loads(line)
@@ -243,11 +243,11 @@
 
     Args:
         check: Coroutine function.
-        **settings: Arguments of `pimentowick.fakes.embedded.Embedded`.
+        **settings: Arguments of `pimentowick.fakes.embedded.EmbeddedDeployment`.
     """
 
     async def run():
-        fleet = embedded.Embedded(**settings)
+        fleet = embedded.EmbeddedDeployment(**settings)
         try:
             await fleet.start()
             callers = Callers(fleet)
@@ -259,7 +259,7 @@
     asyncio.run(run())
 
 
-async def open_unread(address, path, body, headers=None):
+async def post_without_reading(address, path, body, headers=None):
     """Post JSON over a connection of its own and leave the answer in the sockets.
 
     Returns:
--- a/pimentowick/fakes/deployment.py
+++ b/pimentowick/fakes/deployment.py
@@ -192,7 +192,7 @@
             "failure_domain": settings["failure_domain"],
             "state": "live",
         }
-        await self.list_host(name, **process.fields)
+        await self.register_host(name, **process.fields)
 
     async def _spawn(self, name, arguments):
         environment = {**os.environ, "PYTHONPATH": str(PACKAGE_ROOT)}
@@ -218,13 +218,13 @@
         self.processes[name] = process
         return process
 
-    async def list_host(self, name, **fields):
+    async def register_host(self, name, **fields):
         """Put a host into the host list, or change what is said of it."""
         await self.client.fetch(
             "PUT", self.processes["hosts"].address, f"/hosts/{name}", fields
         )
 
-    async def unlist_host(self, name):
+    async def unregister_host(self, name):
         """Take a host off the host list."""
         await self.client.fetch(
             "DELETE", self.processes["hosts"].address, f"/hosts/{name}"
--- a/pimentowick/fakes/embedded.py
+++ b/pimentowick/fakes/embedded.py
@@ -17,7 +17,14 @@
 from pimentowick.entry import daemon as entry_daemon
 from pimentowick.fakes import engine, hosts, log, service, wait
 
-__all__ = ["MODEL", "SERVICE", "TEMPLATE", "Embedded", "make_job_lines", "run"]
+__all__ = [
+    "MODEL",
+    "SERVICE",
+    "TEMPLATE",
+    "EmbeddedDeployment",
+    "make_job_lines",
+    "run",
+]
 
 MODEL = "lm"
 SERVICE = "desk"
@@ -52,7 +59,7 @@
 }
 
 
-class Embedded:
+class EmbeddedDeployment:
     """A deployment in this process.
 
     Args:
@@ -149,7 +156,7 @@
         agent = agent_daemon.Agent(settings)
         await agent.start()
         self.agents[name] = agent
-        await self.list_host(name, "agent", agent.address)
+        await self.register_host(name, "agent", agent.address)
 
     async def add_entry(self, name):
         """Start an entry."""
@@ -166,10 +173,10 @@
         entry = entry_daemon.Entry(settings)
         await entry.start()
         self.entries[name] = entry
-        await self.list_host(name, "entry", entry.address)
+        await self.register_host(name, "entry", entry.address)
         return entry
 
-    async def list_host(self, name, role, address, state="live"):
+    async def register_host(self, name, role, address, state="live"):
         """Put a host into the host list, or change its state."""
         fields = {
             "role": role,
@@ -179,7 +186,7 @@
         }
         await self.client.fetch("PUT", self.hosts.address, f"/hosts/{name}", fields)
 
-    async def unlist_host(self, name):
+    async def unregister_host(self, name):
         """Take a host off the host list."""
         await self.client.fetch("DELETE", self.hosts.address, f"/hosts/{name}")
 
@@ -285,12 +292,12 @@
     """Start a deployment, await ``check(deployment)`` and close it.
 
     Args:
-        check: Coroutine function of an `Embedded`.
-        **settings: Arguments of `Embedded`.
+        check: Coroutine function of an `EmbeddedDeployment`.
+        **settings: Arguments of `EmbeddedDeployment`.
     """
 
     async def run_check():
-        fleet = Embedded(**settings)
+        fleet = EmbeddedDeployment(**settings)
         try:
             await fleet.start()
             await check(fleet)
--- a/pimentowick/fakes/engine.py
+++ b/pimentowick/fakes/engine.py
@@ -14,7 +14,13 @@
 
 from pimentowick.fakes import faults, lag, server
 
-__all__ = ["BLOCK_CHARACTERS", "Engine", "expect_text", "hash_blocks", "make_token"]
+__all__ = [
+    "BLOCK_CHARACTERS",
+    "Engine",
+    "hash_blocks",
+    "make_expected_text",
+    "make_token",
+]
 
 BLOCK_CHARACTERS = 64
 BLOCK_DIGITS = 16
@@ -50,7 +56,7 @@
     return f" w{_hash_text(f'{digest}:{index}').hexdigest()[:TOKEN_DIGITS]}"
 
 
-def expect_text(prompt, max_tokens):
+def make_expected_text(prompt, max_tokens):
     """Return the whole answer to a prompt, `max_tokens` tokens long."""
     return "".join(make_token(prompt, index) for index in range(max_tokens))
 
@@ -393,7 +399,7 @@
             self.ended.set()
 
     def _break_stream(self):
-        order = self.board.take(self.request.path, faults.BREAKING_KINDS)
+        order = self.fault_injector.take(self.request.path, faults.BREAKING_KINDS)
         if order is None:
             return False
         self.broken = True
--- a/pimentowick/fakes/fault_run.py
+++ b/pimentowick/fakes/fault_run.py
@@ -38,14 +38,14 @@
 
     Attributes:
         faults: How often each fault was put in.
-        whole: Requests that were answered whole.
+        complete: Requests that were answered whole.
         refused: Refusals by their verdict.
         unanswered: Requests whose connection broke.
         items: Items of the job, each completed once.
     """
 
     faults: collections.Counter
-    whole: int
+    complete: int
     refused: collections.Counter
     unanswered: int
     items: int
@@ -70,7 +70,7 @@
         """Undo all faults and wait until everything is well."""
         stand_ins = [self.fleet.log, self.fleet.hosts, *self.fleet.targets.values()]
         for each in stand_ins:
-            each.board.place(faults.Order("clear"))
+            each.fault_injector.inject(faults.Fault("clear"))
         while self._mends:
             await self._mends.pop()()
         await self.fleet.wait_for(self.fleet.is_ready)
@@ -91,7 +91,7 @@
         ]
 
     def _place(self, stand_in, kind, **fields):
-        stand_in.board.place(faults.Order(kind, **fields))
+        stand_in.fault_injector.inject(faults.Fault(kind, **fields))
 
     def _choose_target(self, served):
         names = [name for name in self.fleet.targets if name.startswith(served)]
@@ -183,7 +183,7 @@
             continue
         choice = result["response"]["body"]["choices"][0]
         prompt = f"user: {result['custom_id']}"
-        expected = engine.expect_text(prompt, ITEM_TOKENS)
+        expected = engine.make_expected_text(prompt, ITEM_TOKENS)
         assert choice["message"]["content"] == expected, result
 
 
@@ -191,14 +191,14 @@
     outcomes = callers.outcomes
     return Report(
         faults=placed,
-        whole=sum(outcome.whole for outcome in outcomes),
+        complete=sum(outcome.complete for outcome in outcomes),
         refused=collections.Counter(o.verdict for o in outcomes if o.error),
-        unanswered=sum(not o.whole and not o.error for o in outcomes),
+        unanswered=sum(not o.complete and not o.error for o in outcomes),
         items=ITEMS,
     )
 
 
-async def _run_round(fleet, callers, board, rng, number):
+async def _run_round(fleet, callers, fault_injector, rng, number):
     sent = len(callers.outcomes)
     requests = asyncio.ensure_future(_send_requests(fleet, callers, rng, number))
     # Half of the rounds meet the faults in the middle of their requests.
@@ -206,9 +206,9 @@
         await fleet.wait_for(
             lambda: any(outcome.text for outcome in callers.outcomes[sent:])
         )
-    await board.put_in()
+    await fault_injector.put_in()
     await requests
-    await board.mend()
+    await fault_injector.mend()
 
 
 async def run_faults(seed, rounds):
@@ -227,17 +227,17 @@
         UnavailableError: The deployment did not become well again.
     """
     rng = random.Random(seed)
-    fleet = embedded.Embedded(**SETTINGS)
+    fleet = embedded.EmbeddedDeployment(**SETTINGS)
     try:
         await fleet.start()
         callers = fake_callers.Callers(fleet)
         lines = embedded.make_job_lines(ITEMS, ITEM_TOKENS)
         job = (await fleet.submit(lines, f"job {seed}")).decode()
-        board = _Faults(fleet, rng)
+        fault_injector = _Faults(fleet, rng)
         for number in range(rounds):
-            await _run_round(fleet, callers, board, rng, number)
+            await _run_round(fleet, callers, fault_injector, rng, number)
         await _check_job(fleet, job["id"])
         callers.check()
-        return _make_report(board.placed, callers)
+        return _make_report(fault_injector.placed, callers)
     finally:
         await fleet.close()
--- a/pimentowick/fakes/faults.py
+++ b/pimentowick/fakes/faults.py
@@ -9,7 +9,7 @@
 
 from tornado import web
 
-__all__ = ["KINDS", "FaultBoard", "FaultHandler", "Handler", "Order"]
+__all__ = ["KINDS", "Fault", "FaultHandler", "FaultInjector", "Handler"]
 
 OPENING_KINDS = frozenset({"down", "slow", "lose_answer"})
 BREAKING_KINDS = frozenset({"stall", "cut", "trickle"})
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass
-class Order:
+class Fault:
     """One fault order.
 
     Attributes:
@@ -41,29 +41,29 @@
             raise ValueError(f"unknown kind of fault: {self.kind!r}")
 
 
-class FaultBoard:
+class FaultInjector:
     """The fault orders in force and the open connections of one stand-in."""
 
     def __init__(self):
-        self.orders = []
+        self.active_faults = []
         self.connections = weakref.WeakKeyDictionary()
         self.frozen = weakref.WeakSet()
 
-    def place(self, order, issuer=None):
+    def inject(self, order, issuer=None):
         """Put an order into force.
 
         Args:
-            order: The `Order`.
+            order: The `Fault`.
             issuer: Connection that the order came on; a freeze spares it.
         """
         if order.kind == "die":
             os._exit(EXIT_STATUS)
         elif order.kind == "clear":
-            self.orders.clear()
+            self.active_faults.clear()
         elif order.kind == "freeze":
             self.freeze(order, issuer)
         else:
-            self.orders.append(order)
+            self.active_faults.append(order)
 
     def take(self, path, kinds):
         """Return the first order that hits a request, or None, and count it.
@@ -74,7 +74,7 @@
         """
         if path in EXEMPT_PATHS:
             return None
-        for order in self.orders:
+        for order in self.active_faults:
             if order.kind in kinds and path.startswith(order.path):
                 self._spend(order)
                 return order
@@ -99,7 +99,7 @@
             return
         order.count -= 1
         if order.count <= 0:
-            self.orders.remove(order)
+            self.active_faults.remove(order)
 
 
 def _hold_write(data):
@@ -116,17 +116,17 @@
             server: The `pimentowick.fakes.server.Server`.
         """
         self.server = server
-        self.board = server.board
+        self.fault_injector = server.fault_injector
         self.order = None
         self.closed = asyncio.Event()
 
     async def prepare(self):
         """Refuse or hold the request if a fault order says so."""
         self.connection = self.request.connection.stream
-        self.board.connections[self.connection] = self.request.path
-        if self.connection in self.board.frozen:
+        self.fault_injector.connections[self.connection] = self.request.path
+        if self.connection in self.fault_injector.frozen:
             await self.go_silent()
-        self.order = self.board.take(self.request.path, OPENING_KINDS)
+        self.order = self.fault_injector.take(self.request.path, OPENING_KINDS)
         if self.order is not None and self.order.kind == "down":
             self.set_status(503)
             self.finish({"error": "down"})
@@ -165,7 +165,7 @@
         await self.apply_order()
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
-        order = self.board.take(self.request.path, BREAKING_KINDS)
+        order = self.fault_injector.take(self.request.path, BREAKING_KINDS)
         if order is not None:
             await self._break_answer(order, data)
         self.finish(data)
@@ -212,11 +212,11 @@
     async def post(self):
         """Place the order in the body."""
         body = self.read_object()
-        names = [field.name for field in dataclasses.fields(Order)]
+        names = [field.name for field in dataclasses.fields(Fault)]
         given = {name: body[name] for name in names if body.get(name) is not None}
         try:
-            order = Order(**given)
+            order = Fault(**given)
         except (TypeError, ValueError) as error:
             raise web.HTTPError(400, "not a fault order") from error
-        self.board.place(order, issuer=self.connection)
+        self.fault_injector.inject(order, issuer=self.connection)
         await self.answer({"kind": order.kind})
--- a/pimentowick/fakes/log.py
+++ b/pimentowick/fakes/log.py
@@ -11,12 +11,12 @@
 
 from pimentowick.fakes import faults, server
 
-__all__ = ["DEFAULT_LIMIT", "Log", "RateError", "SizeError"]
+__all__ = ["DEFAULT_READ_LIMIT", "Log", "RateLimitError", "RecordTooLargeError"]
 
-DEFAULT_LIMIT = 500
+DEFAULT_READ_LIMIT = 500
 
 
-class RateError(Exception):
+class RateLimitError(Exception):
     """The append rate is used up.
 
     Args:
@@ -28,7 +28,7 @@
         self.retry_after_s = retry_after_s
 
 
-class SizeError(Exception):
+class RecordTooLargeError(Exception):
     """A record is over the size limit."""
 
 
@@ -105,18 +105,18 @@
         """Append records whole or not at all; return the first and next offset."""
         texts = [json.dumps(record) for record in records]
         if any(len(text) > self.max_record_bytes for text in texts):
-            raise SizeError(f"a record is over {self.max_record_bytes} bytes")
+            raise RecordTooLargeError(f"a record is over {self.max_record_bytes} bytes")
         self._spend_token()
         kept = self._open(stream)
         first = kept.head
         kept.append(texts)
         return first, kept.head
 
-    def read(self, stream, offset, limit=DEFAULT_LIMIT):
+    def read(self, stream, offset, limit=DEFAULT_READ_LIMIT):
         """Return pairs of offset and record as JSON text, from an offset on."""
         return self._open(stream).read(offset, limit)
 
-    def measure(self, stream):
+    def get_offsets(self, stream):
         """Return the oldest offset kept and the offset of the next append."""
         kept = self._open(stream)
         return kept.first, kept.head
@@ -151,7 +151,7 @@
         self._tokens = min(self._capacity(), self._tokens + gained)
         self._filled_at = now
         if self._tokens < 1.0:
-            raise RateError((1.0 - self._tokens) / self.appends_per_s)
+            raise RateLimitError((1.0 - self._tokens) / self.appends_per_s)
         self._tokens -= 1.0
 
 
@@ -164,9 +164,9 @@
             raise web.HTTPError(400, "no list of records")
         try:
             first, following = self.server.append(stream, records)
-        except SizeError as error:
+        except RecordTooLargeError as error:
             await self.answer({"error": str(error)}, status=413)
-        except RateError as error:
+        except RateLimitError as error:
             self.set_header("Retry-After", str(math.ceil(error.retry_after_s)))
             await self.answer({"error": str(error)}, status=429)
         else:
@@ -175,14 +175,14 @@
     async def get(self, stream):
         try:
             offset = int(self.get_query_argument("from", "0"))
-            limit = int(self.get_query_argument("limit", str(DEFAULT_LIMIT)))
+            limit = int(self.get_query_argument("limit", str(DEFAULT_READ_LIMIT)))
             wait_s = float(self.get_query_argument("wait", "0"))
         except ValueError as error:
             raise web.HTTPError(400, "not a number") from error
         if wait_s > 0:
             await self.server.wait(stream, offset, wait_s)
         items = self.server.read(stream, offset, limit)
-        first, head = self.server.measure(stream)
+        first, head = self.server.get_offsets(stream)
         # Records are kept as JSON text, so that a read encodes nothing again.
         texts = [f'{{"offset": {at}, "record": {text}}}' for at, text in items]
         body = f'{{"records": [{", ".join(texts)}], "first": {first}, "head": {head}}}'
@@ -197,5 +197,5 @@
         if not isinstance(before, int):
             raise web.HTTPError(400, "no offset")
         self.server.truncate(stream, before)
-        first, head = self.server.measure(stream)
+        first, head = self.server.get_offsets(stream)
         await self.answer({"first": first, "head": head})
--- a/pimentowick/fakes/platform_site.py
+++ b/pimentowick/fakes/platform_site.py
@@ -35,7 +35,7 @@
 _ports = _count_ports()
 
 
-def find_port(kind=socket.SOCK_STREAM):
+def find_free_port(kind=socket.SOCK_STREAM):
     """Return a port that is free, and that no connection is given meanwhile."""
     for port in itertools.islice(_ports, BLOCK_PORTS):
         with socket.socket(socket.AF_INET, kind) as sock:
@@ -65,13 +65,13 @@
 
 def make_settings(store_address, **changes):
     """Return settings of an entry on this machine."""
-    port = find_port(socket.SOCK_DGRAM)
+    port = find_free_port(socket.SOCK_DGRAM)
     settings = node.NodeSettings(
         name="entry",
         ip=LOOPBACK,
         failure_domain="here",
-        callers_address=f"{LOOPBACK}:{find_port()}",
-        ready_address=f"{LOOPBACK}:{find_port()}",
+        callers_address=f"{LOOPBACK}:{find_free_port()}",
+        ready_address=f"{LOOPBACK}:{find_free_port()}",
         peer_ports=(port, port),
         store_address=store_address,
         stop_grace_s=4.0,
@@ -114,7 +114,7 @@
         await self.store.start()
         for each in self.replicas:
             await each.start()
-            self.list_replica(each)
+            self.register_replica(each)
         self.publish(self.routes)
         for _ in range(self._entries):
             await self.start_entry()
@@ -122,7 +122,7 @@
     async def start_entry(self, settings=None):
         """Start one more entry, by default one with addresses of its own."""
         settings = settings or make_settings(self.store.address, **self._changes)
-        gateway = daemon.Gateway(settings, metrics_port=find_port())
+        gateway = daemon.Gateway(settings, metrics_port=find_free_port())
         await gateway.start()
         self.gateways.append(gateway)
         await wait.wait_for(lambda: self._is_ready(gateway), WAIT_S, POLL_S)
@@ -141,9 +141,11 @@
             data["tenants"] = self.tenants
         self.store.put("keyed.op", "config", data)
 
-    def list_replica(self, each, **changes):
+    def register_replica(self, each, **changes):
         """Write the entry of a replica."""
-        self.store.put("keyed.servers", each.id, each.describe(SERVICE, **changes))
+        self.store.put(
+            "keyed.servers", each.id, each.make_registration(SERVICE, **changes)
+        )
 
     async def call(self, method, path, body=None, entry=0, **headers):
         """Send a request to an entry; header names have underscores for dashes."""
--- a/pimentowick/fakes/platform_store.py
+++ b/pimentowick/fakes/platform_store.py
@@ -65,17 +65,17 @@
         parts: Partitions of a topic.
 
     Attributes:
-        late_s: If set, appends get no answer and take effect this many seconds
+        append_delay_s: If set, appends get no answer and take effect this many seconds
             later, if their condition still holds.
-        stored_limit: Bytes of records from which on appends get 507.
+        capacity_bytes: Bytes of records from which on appends get 507.
         calls: Number of calls by path.
     """
 
     def __init__(self, port=0, parts=8):
         super().__init__(port)
         self.parts = parts
-        self.late_s = None
-        self.stored_limit = MAX_STORED_BYTES
+        self.append_delay_s = None
+        self.capacity_bytes = MAX_STORED_BYTES
         self.calls = collections.Counter()
         self.partitions = {}
         self.groups = {}
@@ -161,9 +161,9 @@
         if topic in ("keyed.op", "keyed.servers"):
             await self.answer({"error": "forbidden"}, 403)
             return
-        if self.server.late_s is not None:
+        if self.server.append_delay_s is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.server.late_s, self._append)
+            loop.call_later(self.server.append_delay_s, self._append)
             await self.go_silent()
         status, body = self._append()
         await self.answer(body, status)
@@ -171,7 +171,7 @@
     def _append(self):
         partition = self.find_partition()
         contents = list(_split(self.request.body))
-        if self.server.count_bytes() >= self.server.stored_limit:
+        if self.server.count_bytes() >= self.server.capacity_bytes:
             return 507, {"error": "full"}
         fenced = self._check_producer(partition)
         if fenced is not None:
--- a/pimentowick/fakes/relay.py
+++ b/pimentowick/fakes/relay.py
@@ -6,7 +6,7 @@
 import asyncio
 import contextlib
 
-__all__ = ["Relay", "put_relays"]
+__all__ = ["Relay", "insert_relays"]
 
 PIECE_BYTES = 65_536
 
@@ -117,11 +117,11 @@
 
 
 @contextlib.asynccontextmanager
-async def put_relays(fleet, role):
+async def insert_relays(fleet, role):
     """Put a relay before each agent or entry, and tell the host list of it.
 
     Args:
-        fleet: `pimentowick.fakes.embedded.Embedded`.
+        fleet: `pimentowick.fakes.embedded.EmbeddedDeployment`.
         role: ``agent`` or ``entry``.
     """
     group = fleet.agents if role == "agent" else fleet.entries
@@ -130,7 +130,7 @@
         each = Relay(process.address)
         await each.start()
         relays.append(each)
-        await fleet.list_host(name, role, each.address)
+        await fleet.register_host(name, role, each.address)
     entries = list(fleet.entries.values())
     if role == "agent":
         wanted = {each.address for each in relays}
--- a/pimentowick/fakes/replica.py
+++ b/pimentowick/fakes/replica.py
@@ -21,14 +21,14 @@
             ``unsigned``, ``crossed`` (an answer to another request first),
             ``wrong_order`` (an event is missing) or ``silent`` (nothing more).
         cut_after: Number of events or bytes after which the answer breaks off.
-        half_event: Whether it breaks off in the middle of an event.
-        held: Whether it does so only once `Replica.release` is set.
+        partial_event: Whether it breaks off in the middle of an event.
+        awaits_release: Whether it does so only once `Replica.release` is set.
     """
 
     kind: str = "answer"
     cut_after: int | None = None
-    half_event: bool = False
-    held: bool = False
+    partial_event: bool = False
+    awaits_release: bool = False
 
 
 class Replica(server.Server):
@@ -37,40 +37,41 @@
     Args:
         replica_id: Identifier, checked against what a request expects.
         events: Number of events of a stream; 0 answers plainly.
-        gap_s: Pause before each event, in seconds.
+        event_interval_s: Pause before each event, in seconds.
         slots: Requests that run at once; others wait.
 
     Attributes:
-        plan: `Behaviour` objects for the next requests; afterwards all are answered.
+        planned_behaviours: `Behaviour` of each of the next requests; later ones are
+            answered normally.
         runs: Number of runs by request identifier.
         headers: Headers of the requests that ran, in order.
-        uris: Their paths and queries.
+        request_uris: Their paths and queries.
         running: Requests that run now.
-        most_running: Most that ran at once.
-        holds_last: Whether streams wait for `release` before their last event.
+        peak_running: Most that ran at once.
+        holds_last_event: Whether streams wait for `release` before their last event.
         release: Set by a test to let held answers go on, or break off.
     """
 
-    def __init__(self, replica_id="i-1", events=3, gap_s=0.0, slots=8):
+    def __init__(self, replica_id="i-1", events=3, event_interval_s=0.0, slots=8):
         super().__init__()
         self.id = replica_id
         self.events = events
-        self.gap_s = gap_s
+        self.event_interval_s = event_interval_s
         self.slots = slots
-        self.plan = []
+        self.planned_behaviours = []
         self.runs = collections.Counter()
         self.headers = []
-        self.uris = []
+        self.request_uris = []
         self.running = 0
-        self.most_running = 0
-        self.holds_last = False
+        self.peak_running = 0
+        self.holds_last_event = False
         self.release = asyncio.Event()
 
     def list_routes(self):
         """Return the routes of the replica."""
         return [("/.*", _Handler)]
 
-    def describe(self, service, **changes):
+    def make_registration(self, service, **changes):
         """Return the entry that the replica writes about itself."""
         return {
             "service": service,
@@ -89,7 +90,11 @@
         if expected != replica.id:
             self.set_status(421)
             return
-        behaviour = replica.plan.pop(0) if replica.plan else Behaviour()
+        behaviour = (
+            replica.planned_behaviours.pop(0)
+            if replica.planned_behaviours
+            else Behaviour()
+        )
         if behaviour.kind == "refuse":
             self.set_status(503)
             self.set_header(PREFIX + "Not-Executed", "1")
@@ -97,9 +102,9 @@
         request_id = self.request.headers[PREFIX + "Request-Id"]
         replica.runs[request_id] += 1
         replica.headers.append(dict(self.request.headers))
-        replica.uris.append(self.request.uri)
+        replica.request_uris.append(self.request.uri)
         replica.running += 1
-        replica.most_running = max(replica.most_running, replica.running)
+        replica.peak_running = max(replica.peak_running, replica.running)
         try:
             await self._run(behaviour, request_id)
         finally:
@@ -143,17 +148,17 @@
         first = int(self.request.headers.get("Last-Event-Id", "0")) + 1
         for sent, number in enumerate(range(first, self.server.events + 1)):
             if sent == behaviour.cut_after:
-                if behaviour.half_event:
+                if behaviour.partial_event:
                     self.write(f"id: {number}\nda")
                     await self.flush()
-                if behaviour.held:
+                if behaviour.awaits_release:
                     await self.server.release.wait()
                 self.hang_up()
                 return
             if behaviour.kind == "wrong_order" and sent == 1:
                 continue
-            await asyncio.sleep(self.server.gap_s)
-            if self.server.holds_last and number == self.server.events:
+            await asyncio.sleep(self.server.event_interval_s)
+            if self.server.holds_last_event and number == self.server.events:
                 await self.server.release.wait()
             if self.closed.is_set():
                 return
--- a/pimentowick/fakes/server.py
+++ b/pimentowick/fakes/server.py
@@ -16,12 +16,12 @@
 
 class _TrackingServer(httpserver.HTTPServer):
     # HTTPServer is configurable: initialize takes the place of __init__.
-    def initialize(self, application, board, **settings):
+    def initialize(self, application, fault_injector, **settings):
         super().initialize(application, **settings)
-        self.board = board
+        self.fault_injector = fault_injector
 
     def handle_stream(self, stream, address):
-        self.board.connections[stream] = ""
+        self.fault_injector.connections[stream] = ""
         super().handle_stream(stream, address)
 
 
@@ -33,13 +33,13 @@
 
     Attributes:
         address: `127.0.0.1:PORT` once started.
-        board: The fault orders in force.
+        fault_injector: The fault orders in force.
     """
 
     def __init__(self, port=0):
         self.port = port
         self.address = None
-        self.board = faults.FaultBoard()
+        self.fault_injector = faults.FaultInjector()
         self._http = None
 
     @abc.abstractmethod
@@ -56,7 +56,7 @@
         """Listen; `address` is set when this returns."""
         sockets = netutil.bind_sockets(self.port, LOOPBACK, backlog=BACKLOG)
         self.address = f"{LOOPBACK}:{sockets[0].getsockname()[1]}"
-        self._http = _TrackingServer(self.make_application(), self.board)
+        self._http = _TrackingServer(self.make_application(), self.fault_injector)
         self._http.add_sockets(sockets)
 
     async def close(self):
@@ -64,7 +64,7 @@
         if self._http is None:
             return
         self._http.stop()
-        for connection in list(self.board.connections):
+        for connection in list(self.fault_injector.connections):
             connection.close()
         closing = self._http.close_all_connections()
         await asyncio.wait_for(closing, CLOSE_TIMEOUT_S)
--- a/pimentowick/fakes/simulation.py
+++ b/pimentowick/fakes/simulation.py
@@ -70,7 +70,7 @@
         tokens: Tokens produced, by the prefix of the request's id before ``/``.
         resumes: Streams that began after their first tokens.
         step_count: Steps so far.
-        read_s: Seconds spent reading prompts, by the same prefix.
+        prefill_s: Seconds spent reading prompts, by the same prefix.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self.running = []
         self.waiting = collections.deque()
         self.tokens = collections.Counter()
-        self.read_s = collections.Counter()
+        self.prefill_s = collections.Counter()
         self.resumes = 0
         self.step_count = 0
         self._cache = collections.OrderedDict()
@@ -158,15 +158,15 @@
 
     def _begin_step(self):
         self.step_count += 1
-        read_s = 0.0
+        prefill_s = 0.0
         while self.waiting and len(self.running) < self.max_running:
             stream = self.waiting.popleft()
             self.running.append(stream)
             if not stream.generation.resume_tokens:
                 own_s = self._read(stream.generation.prompt) * self.read_us / 1e6
-                self.read_s[_get_group(stream)] += own_s
-                read_s += own_s
-        return self.base_ms * (1 + self.slope * len(self.running)) / 1e3 + read_s
+                self.prefill_s[_get_group(stream)] += own_s
+                prefill_s += own_s
+        return self.base_ms * (1 + self.slope * len(self.running)) / 1e3 + prefill_s
 
     def _read(self, prompt):
         """Return how many characters of a prompt are not in the cache."""
--- a/pimentowick/fakes/tests/test_engine.py
+++ b/pimentowick/fakes/tests/test_engine.py
@@ -17,7 +17,7 @@
         code, lines = await client.generate(server, "r", "hello", 5)
         assert code == 200
         text = "".join(line["text"] for line in lines[:-1])
-        assert text == engine.expect_text("hello", 5)
+        assert text == engine.make_expected_text("hello", 5)
         assert lines[-1]["finish_reason"] == "length" and lines[-1]["tokens"] == 5
         _, rest = await client.generate(server, "r", "hello", 5, resume_tokens=3)
         assert rest[:-1] == lines[3:-1]
--- a/pimentowick/fakes/tests/test_stand_ins.py
+++ b/pimentowick/fakes/tests/test_fakes.py
@@ -35,7 +35,7 @@
     async def check():
         server = log.Log(retention_s=0.0)
         server.append("s", [{}])
-        await client.wait_for(lambda: server.measure("s") == (1, 1))
+        await client.wait_for(lambda: server.get_offsets("s") == (1, 1))
         assert server.append("s", [{}]) == (1, 2)
 
     asyncio.run(check())
@@ -50,7 +50,7 @@
             await client.ask(server, "/streams/s/records", body)
             answer = await client.fetch(server, "/streams/s/records", body)
             assert answer.code == 429 and int(answer.headers["Retry-After"]) >= 1
-            assert server.measure("s") == (0, 1)
+            assert server.get_offsets("s") == (0, 1)
 
     asyncio.run(check())
 
--- a/pimentowick/fakes/tests/test_ports.py
+++ b/pimentowick/fakes/tests/test_ports.py
@@ -12,9 +12,9 @@
     # address in use.
     text = RANGE.read_text(encoding="utf-8") if RANGE.exists() else DEFAULT_RANGE
     first, last = map(int, text.split())
-    found = [platform_site.find_port() for _ in range(50)]
+    found = [platform_site.find_free_port() for _ in range(50)]
     assert not [port for port in found if first <= port <= last]
 
 
 def test_ports_of_one_entry_differ():
-    assert len({platform_site.find_port() for _ in range(50)}) == 50
+    assert len({platform_site.find_free_port() for _ in range(50)}) == 50
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -380,7 +380,7 @@
 
 def test_identifiers_of_jobs_are_scoped_to_the_workspace():
     async def check(site, server):
-        server.gap_s = 5.0
+        server.event_interval_s = 5.0
         assert (await submit(site, KEY)).status == 202
         assert (await submit(site, OTHER_KEY)).status == 202
         assert len(site.gateways[0].storage.book.jobs) == 2
@@ -391,7 +391,7 @@
 def test_job_continues_when_its_key_is_revoked():
     async def check(site, server):
         gateway = site.gateways[0]
-        server.gap_s = 0.1
+        server.event_interval_s = 0.1
         assert (await submit(site, KEY)).status == 202
         change_keys(site, ["k3y-second"])
         await wait.wait_for(lambda: gateway.configuration.current.version == 2, 5, 0.01)
@@ -411,7 +411,7 @@
 
 def test_waiting_tokens_are_counted_by_workspace():
     async def check(site, server):
-        server.gap_s = 5.0
+        server.event_interval_s = 5.0
         assert (await submit(site, KEY, "a", tokens=900)).status == 202
         assert (await submit(site, KEY, "b", tokens=900)).status == 429
         assert (await submit(site, OTHER_KEY, "c", tokens=900)).status == 202
@@ -423,7 +423,7 @@
     # Each entry has room for one more large job under the limit. If both accepted one,
     # the workspace would exceed its limit by a whole job.
     async def check(site, server):
-        server.gap_s = 5.0
+        server.event_interval_s = 5.0
         answers = await asyncio.gather(
             *(submit(site, KEY, f"j{n}", tokens=900, entry=n % 2) for n in range(6))
         )
@@ -434,7 +434,7 @@
 
 def test_entry_without_a_configuration_returns_503_and_not_401():
     async def check(site, server):
-        site.store.board.place(faults.Order("down"))
+        site.store.fault_injector.inject(faults.Fault("down"))
         gateway = site.gateways[0]
         gateway.configuration.current = None
         assert (await send(site, "unknown")).status == 503
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -36,7 +36,7 @@
     servers = [replica.Replica(f"i-{n}") for n in range(2)]
 
     async def check(site, gateway):
-        site.list_replica(servers[0], state="draining")
+        site.register_replica(servers[0], state="draining")
         await wait_true(lambda: gateway.table.by_id["i-0"].registration.leaving)
         for number in range(4):
             await send(site, f"r{number}")
@@ -52,13 +52,13 @@
 
     async def check(site, gateway):
         feed = gateway._feeds["targets"]
-        site.store.board.place(faults.Order("down"))
+        site.store.fault_injector.inject(faults.Fault("down"))
         await wait_true(lambda: feed.lost_at is not None)
         site.store.put("keyed.servers", server.id, b"")
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         await wait_true(lambda: feed.lost_at is None)
         assert server.id in gateway.table.by_id
-        site.list_replica(server)
+        site.register_replica(server)
         await wait_true(lambda: not gateway._targets._missing_since)
         assert server.id in gateway.table.by_id
 
@@ -110,7 +110,7 @@
     # An entry without routes and targets must not receive requests.
     async def run():
         settings = platform_site.make_settings("127.0.0.1:9")
-        gateway = daemon.Gateway(settings, platform_site.find_port())
+        gateway = daemon.Gateway(settings, platform_site.find_free_port())
         await gateway.start()
         try:
             assert not gateway.is_ready
@@ -122,7 +122,7 @@
 
 def test_entry_serves_during_a_store_outage():
     async def check(site, gateway):
-        site.store.board.place(faults.Order("down"))
+        site.store.fault_injector.inject(faults.Fault("down"))
         await wait_true(lambda: gateway._feeds["targets"].lost_at is not None)
         assert (await send(site)).status == 200
         assert await check_ready(site, gateway) == 200
@@ -133,7 +133,7 @@
 def test_planned_stop_finishes_requests_in_flight():
     # The load balancer needs seconds to remove an unready entry. Requests that arrive
     # until then are served and no response is truncated.
-    server = replica.Replica(events=30, gap_s=0.02)
+    server = replica.Replica(events=30, event_interval_s=0.02)
 
     async def check(site, gateway):
         task = asyncio.create_task(send(site))
@@ -154,7 +154,7 @@
 def test_planned_stop_accepts_no_request_that_it_would_truncate():
     # With too few ready entries the load balancer keeps sending requests to this one. A
     # stream that starts just before the end of the grace period would be truncated.
-    server = replica.Replica(events=30, gap_s=0.02)
+    server = replica.Replica(events=30, event_interval_s=0.02)
 
     async def check(site, gateway):
         ended = asyncio.Event()
@@ -186,7 +186,7 @@
 
 
 def test_reloading_settings_interrupts_no_request(tmp_path, monkeypatch):
-    server = replica.Replica(events=20, gap_s=0.02)
+    server = replica.Replica(events=20, event_interval_s=0.02)
 
     async def check(site, gateway):
         monkeypatch.setenv("PIMENTOWICK_NODE_FILE", str(tmp_path / "settings.conf"))
@@ -328,8 +328,8 @@
     # A target that accepts requests and answers none looks idle and would attract more
     # than its share of requests.
     monkeypatch.setattr(outlier_detection, "HALF_LIFE_S", 600.0)
-    servers = [replica.Replica(f"i-{n}", gap_s=0.01) for n in range(6)]
-    servers[0].plan = [replica.Behaviour("vanish") for _ in range(60)]
+    servers = [replica.Replica(f"i-{n}", event_interval_s=0.01) for n in range(6)]
+    servers[0].planned_behaviours = [replica.Behaviour("vanish") for _ in range(60)]
 
     async def check(site, gateway):
         # Clears the pause after connection errors, so that only outlier detection acts.
@@ -373,7 +373,7 @@
         replicas = [replica.Replica(f"i-{n}") for n in range(3)]
         async with platform_site.open_site(replicas) as site:
             settings = platform_site.make_settings(site.store.address)
-            gateway = daemon.Gateway(settings, platform_site.find_port())
+            gateway = daemon.Gateway(settings, platform_site.find_free_port())
             store = gateway.store
             read_newest = store.read_newest
 
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -94,7 +94,7 @@
 
 def test_request_that_no_target_ran_costs_no_quota():
     server = replica.Replica()
-    server.plan = [replica.Behaviour("refuse")] * 4
+    server.planned_behaviours = [replica.Behaviour("refuse")] * 4
 
     async def check(site):
         assert (await send(site, "r0")).status == 503
--- a/pimentowick/gateway/tests/test_exchange.py
+++ b/pimentowick/gateway/tests/test_exchange.py
@@ -15,7 +15,7 @@
     # closes: if a connection closed after its request was handled, the caller could not
     # tell whether it ran.
     async def run():
-        address = f"127.0.0.1:{platform_site.find_port()}"
+        address = f"127.0.0.1:{platform_site.find_free_port()}"
 
         async def answer(request):
             await asyncio.sleep(0.05)
@@ -46,7 +46,7 @@
     # request arrived. The request must not be handled, since its caller sees a
     # connection that was closed before the request was read.
     async def run():
-        address = f"127.0.0.1:{platform_site.find_port()}"
+        address = f"127.0.0.1:{platform_site.find_free_port()}"
         handled = []
 
         async def answer(request):
@@ -77,7 +77,7 @@
 
 def test_connections_without_a_request_are_closed():
     async def run():
-        address = f"127.0.0.1:{platform_site.find_port()}"
+        address = f"127.0.0.1:{platform_site.find_free_port()}"
         server = exchange.Server(address, None)
         await server.start()
         sock = socket.create_connection(("127.0.0.1", server._port))
@@ -105,7 +105,7 @@
             handled.append(request)
             await request.answer(200, httputil.HTTPHeaders(), request.body)
 
-        address = f"127.0.0.1:{platform_site.find_port()}"
+        address = f"127.0.0.1:{platform_site.find_free_port()}"
         server = exchange.Server(address, answer, lambda: limits)
         await server.start()
         watch = asyncio.create_task(server.close_slow_connections())
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -100,8 +100,8 @@
     # The store takes the append and its answer is lost. Appended again, the job
     # would stand twice; refused, it would run although the caller was told not.
     async def check(site):
-        site.store.board.place(
-            faults.Order("lose_answer", count=2, path="/-/log-append")
+        site.store.fault_injector.inject(
+            faults.Fault("lose_answer", count=2, path="/-/log-append")
         )
         assert (await submit(site, make_body(2))).status == 202
         await read_all(site, 2)
@@ -125,7 +125,7 @@
 
         async def put_before_the_store_falls_silent(*args):
             written = await put(*args)
-            site.store.late_s = 60.0
+            site.store.append_delay_s = 60.0
             return written
 
         contents.put = put_before_the_store_falls_silent
@@ -138,9 +138,9 @@
 def test_job_is_refused_while_the_store_turns_all_away():
     # The store answers 503: nothing was done, so the refusal is true.
     async def check(site):
-        site.store.board.place(faults.Order("down", path="/-/log-append"))
+        site.store.fault_injector.inject(faults.Fault("down", path="/-/log-append"))
         assert (await submit(site, make_body(2))).status == 503
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         status, _ = await read(site)
         assert status == 404
 
@@ -150,7 +150,7 @@
 def test_jobs_beyond_the_quota_are_refused():
     async def check(site):
         servers = site.replicas
-        servers[0].gap_s = 5.0
+        servers[0].event_interval_s = 5.0
         assert (await submit(site, make_body(9, tokens=100))).status == 202
         assert (await submit(site, make_body(2, tokens=100), "job2")).status == 429
         assert (await submit(site, make_body(9, tokens=100))).status == 202
@@ -162,8 +162,8 @@
     # A target crashes in the middle of an item. The text that is there is kept, and
     # every event stands in it once.
     server = replica.Replica()
-    server.plan = [
-        replica.Behaviour(cut_after=2, half_event=True, held=True),
+    server.planned_behaviours = [
+        replica.Behaviour(cut_after=2, partial_event=True, awaits_release=True),
         replica.Behaviour("fail"),
     ]
 
@@ -183,7 +183,7 @@
     # An item fails at each run, or the target says that it can never be done. Tried
     # for ever, it would hold a place that others wait for.
     server = replica.Replica()
-    server.plan = [replica.Behaviour(kind) for _ in range(10)]
+    server.planned_behaviours = [replica.Behaviour(kind) for _ in range(10)]
 
     async def check(site):
         await submit(site, make_body(1))
@@ -196,7 +196,7 @@
 
 def test_ended_job_stops_and_keeps_what_is_listed():
     # A caller ends a job at an entry that does not run it.
-    server = replica.Replica(events=400, gap_s=0.02)
+    server = replica.Replica(events=400, event_interval_s=0.02)
 
     async def check(site):
         await submit(site, make_body(4))
@@ -212,7 +212,7 @@
 
 
 def test_body_of_an_item_is_given_until_it_is_listed():
-    server = replica.Replica(events=400, gap_s=0.02)
+    server = replica.Replica(events=400, event_interval_s=0.02)
 
     async def check(site):
         body = make_body(1, size=600_000)
@@ -243,7 +243,7 @@
 def test_entry_that_is_not_sure_does_not_say_unknown():
     # The store is away, and another entry may have accepted the job meanwhile.
     async def check(site):
-        site.store.board.place(faults.Order("down"))
+        site.store.fault_injector.inject(faults.Fault("down"))
         status, _ = await read(site)
         assert status == 503
 
@@ -253,7 +253,7 @@
 def test_another_entry_takes_over_after_the_recorded_text():
     # The entry that runs an item stops. Its successor goes on after the events that
     # were recorded.
-    server = replica.Replica(events=60, gap_s=0.02)
+    server = replica.Replica(events=60, event_interval_s=0.02)
 
     async def check(site):
         await submit(site, make_body(8))
@@ -347,7 +347,7 @@
 
     async def check(site):
         server = site.replicas[0]
-        server.plan = [replica.Behaviour("silent")] * 9
+        server.planned_behaviours = [replica.Behaviour("silent")] * 9
         assert (await submit(site, make_body(2))).status == 202
         site.publish([route for route in ROUTES if route is not BATCH])
         found = await read_all(site, 2)
@@ -376,10 +376,10 @@
 async def start_whole_item(site, server):
     """Return the gateway at which an item has ended that can't be listed."""
     # Ended before the store is away, the item could be listed after all.
-    server.holds_last = True
+    server.holds_last_event = True
     assert (await submit(site, make_body(1))).status == 202
     await wait.wait_for(lambda: server.running, 10, 0.005)
-    site.store.board.place(faults.Order("down"))
+    site.store.fault_injector.inject(faults.Fault("down"))
     server.release.set()
 
     def find():
@@ -393,13 +393,13 @@
 def test_item_that_ended_during_an_outage_is_listed_though_its_part_is_lost():
     # The store is away for seconds. Items end meanwhile; with the store's return all
     # parts are dealt anew. Dropped for that, their texts would all be made again.
-    server = replica.Replica(events=10, gap_s=0.02)
+    server = replica.Replica(events=10, event_interval_s=0.02)
 
     async def check(site):
         found = (await start_whole_item(site, server)).runner
         found.own(frozenset())
         assert found.recording
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         (row,) = await read_all(site, 1)
         assert row["state"] == "done"
         assert server.runs == {"item0": 1}
@@ -411,7 +411,7 @@
 def test_entry_that_stops_during_an_outage_lists_what_it_has_when_the_store_is_back():
     # Hosts are restarted while the store is away for a few seconds, less than a
     # process has to end. Given up sooner, all that ran there would be made again.
-    server = replica.Replica(events=10, gap_s=0.02)
+    server = replica.Replica(events=10, event_interval_s=0.02)
 
     async def check(site):
         found = await start_whole_item(site, server)
@@ -419,7 +419,7 @@
         await wait.wait_for(lambda: found.runner.recording, 10, 0.005)
         await asyncio.wait({draining}, timeout=daemon.BALANCER_REMOVAL_S + 0.2)
         assert not draining.done()
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         await asyncio.wait_for(draining, 20)
         (row,) = await read_all(site, 1, entry=1 - site.gateways.index(found))
         assert row["state"] == "done"
@@ -437,7 +437,7 @@
         jobs = cut.storage.book.jobs
         await wait.wait_for(lambda: "known" in jobs, 10, 0.01)
         cut._supervisor.stop_child("ownership")
-        site.store.board.place(faults.Order("stall"))
+        site.store.fault_injector.inject(faults.Fault("stall"))
         found = cut.ownership._reachability
         found.see_others = lambda now, others_renewed_at: False
         found._passed_at, found._is_proved = time.monotonic(), True
@@ -449,7 +449,7 @@
         assert (await submit(site, make_body(1), "known")).status == 202
         status, _ = await read(site, after=9, job_id="unknown")
         assert status == 503
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         assert (await submit(site, make_body(2), entry=1)).status == 202
 
     run_with([replica.Replica()], check, entries=2)
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -24,7 +24,7 @@
     route = platform_site.make_route("/lot/", "batch", run_target_ms=20_000)
 
     async def run():
-        server = replica.Replica(events=400, gap_s=0.02)
+        server = replica.Replica(events=400, event_interval_s=0.02)
         async with platform_site.open_site([server], [route]) as site:
             body = test_job_api.make_body(ITEMS, size=BODY_BYTES)
             for number in range(JOBS):
@@ -102,8 +102,8 @@
 
 def test_content_is_written_although_answers_are_lost():
     async def check(outside, one, other):
-        order = faults.Order("lose_answer", count=2, path="/-/log-append")
-        outside.board.place(order)
+        order = faults.Fault("lose_answer", count=2, path="/-/log-append")
+        outside.fault_injector.inject(order)
         written = await one.storage.contents.put("j", {"b/0/w": b"body"}, 5)
         named = await other.storage.contents.read("j", list(written.values()))
         assert named == {"b/0/w": b"body"}
@@ -127,13 +127,13 @@
 NEVER_S = 300.0
 
 
-async def lose_first_answer(outside, late_s, work):
+async def lose_first_answer(outside, append_delay_s, work):
     """Run some work of which the first append gets no answer; return its result."""
     appends = outside.calls["/-/log-append"]
-    outside.late_s = late_s
+    outside.append_delay_s = append_delay_s
     task = asyncio.create_task(work)
     await wait.wait_for(lambda: outside.calls["/-/log-append"] > appends, 5, 0.001)
-    outside.late_s = None
+    outside.append_delay_s = None
     return await task
 
 
@@ -152,8 +152,8 @@
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.05, NEVER_S])
-def test_lost_answer_does_not_hold_up_the_acceptance_of_a_job(late_s):
+@pytest.mark.parametrize("append_delay_s", [0.05, NEVER_S])
+def test_lost_answer_does_not_hold_up_the_acceptance_of_a_job(append_delay_s):
     # The store takes the job and its answer is lost: that shows in the partition long
     # before the call is given up on. Or it may take it seconds later: then the same
     # append is made again, and one of the two takes effect.
@@ -167,7 +167,7 @@
             return [] if "j" in view.jobs else [made]
 
         commit = one.storage.accepted.commit(build, 5)
-        await lose_first_answer(outside, late_s, commit)
+        await lose_first_answer(outside, append_delay_s, commit)
         assert len(outside.get_partition("keyed.jobs", 0).records) == 1
 
     test_transcript.run_with(check)
@@ -179,7 +179,9 @@
         await wait.wait_for(lambda: other.storage.is_loaded, 5, 0.005)
         await asyncio.gather(*(cancel(task) for task in other.tasks))
         other.store.timeout_s = NEVER_S
-        outside.board.place(faults.Order("stall", count=1, path="/-/log-read"))
+        outside.fault_injector.inject(
+            faults.Fault("stall", count=1, path="/-/log-read")
+        )
         for task in one.tasks:
             await cancel(task)
         named = await asyncio.wait_for(
@@ -190,8 +192,8 @@
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.3, NEVER_S])
-def test_lost_answer_does_not_hold_up_the_listing_of_an_item(late_s):
+@pytest.mark.parametrize("append_delay_s", [0.3, NEVER_S])
+def test_lost_answer_does_not_hold_up_the_listing_of_an_item(append_delay_s):
     # The same result may be taken twice; it is listed once, for all alike.
     async def check(outside, one, other):
         await one.accept()
@@ -199,11 +201,11 @@
         made.add(event_stream.Event(b"", "1", "a"))
         one.store.timeout_s = NEVER_S
         listing = made.give_up(5)
-        await lose_first_answer(outside, late_s, listing)
+        await lose_first_answer(outside, append_delay_s, listing)
         outcomes = outside.get_partition("keyed.outcomes", 0)
         jobs = other.storage.book.jobs
         await wait.wait_for(lambda: jobs["j"].results, 5, 0.005)
-        if late_s != NEVER_S:
+        if append_delay_s != NEVER_S:
             await wait.wait_for(lambda: outcomes.end >= 2, 5, 0.005)
         await other.storage.refresh()
         assert len(jobs["j"].results) == 1
--- a/pimentowick/gateway/tests/test_ledger.py
+++ b/pimentowick/gateway/tests/test_ledger.py
@@ -52,8 +52,8 @@
     # The store takes every other append and the answers are lost.
     async def check(outside, writers):
         for number in range(6):
-            order = faults.Order("lose_answer", count=1, path="/-/log-append")
-            outside.board.place(order)
+            order = faults.Fault("lose_answer", count=1, path="/-/log-append")
+            outside.fault_injector.inject(order)
             await writers[number % 2].ledger.commit(make_add(f"j{number}"), 10)
         assert [count_records(outside, f"j/j{n}") for n in range(6)] == [1] * 6
 
@@ -64,10 +64,10 @@
     # The store answers nothing and does the append seconds later, if its condition
     # still holds. By then the change was appended again.
     async def check(outside, writers):
-        outside.late_s = 0.7
+        outside.append_delay_s = 0.7
         task = asyncio.create_task(writers[0].ledger.commit(make_add("a"), 10))
         await wait.wait_for(lambda: outside.calls["/-/log-append"] == 1, 5, 0.005)
-        outside.late_s = None
+        outside.append_delay_s = None
         await task
         await writers[1].ledger.commit(make_add("b"), 10)
         assert [count_records(outside, f"j/{name}") for name in "ab"] == [1, 1]
@@ -78,7 +78,7 @@
 def test_outcome_is_unsettled_while_an_append_may_land():
     # Given up now, the change may still take effect: that is no refusal.
     async def check(outside, writers):
-        outside.late_s = 30.0
+        outside.append_delay_s = 30.0
         with pytest.raises(ledger.UnsettledError):
             await writers[0].ledger.commit(make_add("a"), 1.5)
 
@@ -89,12 +89,12 @@
     # Another writer appended meanwhile: the append without an answer cannot land any
     # more, and giving up is a true refusal.
     async def check(outside, writers):
-        outside.late_s = 30.0
+        outside.append_delay_s = 30.0
         task = asyncio.create_task(writers[0].ledger.commit(make_add("a"), 4))
         await wait.wait_for(lambda: outside.calls["/-/log-append"] == 1, 5, 0.005)
         outside.put(writer.TOPIC, "e/none", b"1")
-        outside.late_s = None
-        outside.board.place(faults.Order("down", path="/-/log-append"))
+        outside.append_delay_s = None
+        outside.fault_injector.inject(faults.Fault("down", path="/-/log-append"))
         with pytest.raises(ledger.NotWrittenError):
             await task
         assert count_records(outside, "j/a") == 0
@@ -108,9 +108,9 @@
     async def check(outside, writers):
         await writers[0].ledger.commit(make_add("first"), 10)
         for _ in range(50):
-            order = faults.Order("slow", seconds=0.3, path="/-/log-append")
-            outside.board.place(order)
-        outside.stored_limit = 0
+            order = faults.Fault("slow", seconds=0.3, path="/-/log-append")
+            outside.fault_injector.inject(order)
+        outside.capacity_bytes = 0
         with pytest.raises(ledger.NotWrittenError):
             await writers[0].ledger.commit(make_add("a"), 0.2)
 
@@ -120,8 +120,8 @@
 def test_change_that_lands_as_its_time_is_up_is_done():
     async def check(outside, writers):
         await writers[0].ledger.commit(make_add("first"), 10)
-        order = faults.Order("slow", seconds=0.3, path="/-/log-append")
-        outside.board.place(order)
+        order = faults.Fault("slow", seconds=0.3, path="/-/log-append")
+        outside.fault_injector.inject(order)
         await writers[0].ledger.commit(make_add("a"), 0.2)
         assert count_records(outside, "j/a") == 1
 
@@ -146,14 +146,14 @@
         reader = writers[1]
         await writers[0].ledger.commit(make_add("a"), 10)
         await wait.wait_for(lambda: "a" in reader.ledger.book.jobs, 5, 0.005)
-        outside.board.place(faults.Order("down", path="/-/log-read"))
+        outside.fault_injector.inject(faults.Fault("down", path="/-/log-read"))
         partition = outside.get_partition(writer.TOPIC, 0)
         outside.put(writer.TOPIC, "j/a", b"")
         await asyncio.sleep(0)
         made = record.make_job("b", "h", "/p/", 0.0, [])
         outside.put(writer.TOPIC, made.key, made.value)
         partition.trim(partition.end)
-        outside.board.place(faults.Order("clear"))
+        outside.fault_injector.inject(faults.Fault("clear"))
         await wait.wait_for(lambda: set(reader.ledger.book.jobs) == {"b"}, 5, 0.005)
 
     writer.run_with(check)
--- a/pimentowick/gateway/tests/test_neighbour.py
+++ b/pimentowick/gateway/tests/test_neighbour.py
@@ -91,7 +91,7 @@
     # All places of a target run batch items, of one entry or of two. Requests come at
     # one entry; engines know no priority, so the items have to go before the requests
     # can start.
-    server = replica.Replica(events=400, gap_s=0.02, slots=4)
+    server = replica.Replica(events=400, event_interval_s=0.02, slots=4)
     batch = platform_site.make_route("/lot/", "batch", run_target_ms=60_000)
 
     async def run():
@@ -132,7 +132,7 @@
     # Many entries in two failure domains tell each other through one entry of each.
     # Not heard, a request's place would be given to others as well.
     monkeypatch.setattr(neighbour, "RELAYED_FROM", 1)
-    server = replica.Replica(events=4000, gap_s=0.02)
+    server = replica.Replica(events=4000, event_interval_s=0.02)
 
     async def run():
         async with platform_site.open_site([server], ROUTES) as site:
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -49,14 +49,16 @@
 
 
 @pytest.mark.parametrize("cut_after", [0, 1, 2])
-@pytest.mark.parametrize("half_event", [False, True])
-def test_resumable_stream_continues_at_another_target(cut_after, half_event):
+@pytest.mark.parametrize("partial_event", [False, True])
+def test_resumable_stream_continues_at_another_target(cut_after, partial_event):
     # A target crashes in the middle of a stream, possibly in the middle of an event.
     # The caller must receive every event once and in order, in one response.
     servers = [replica.Replica("i-1"), replica.Replica("i-2")]
     # The target that receives the first request truncates its response.
-    plan = [replica.Behaviour(cut_after=cut_after, half_event=half_event)]
-    servers[0].plan = servers[1].plan = plan
+    planned_behaviours = [
+        replica.Behaviour(cut_after=cut_after, partial_event=partial_event)
+    ]
+    servers[0].planned_behaviours = servers[1].planned_behaviours = planned_behaviours
 
     async def check(site):
         answers = [await send(site, "/chat/1", f"r{n}") for n in range(2)]
@@ -71,7 +73,7 @@
     # so the caller must see an incomplete response instead.
     servers = [replica.Replica(f"i-{n}") for n in range(2)]
     for each in servers:
-        each.plan = [replica.Behaviour(cut_after=1)]
+        each.planned_behaviours = [replica.Behaviour(cut_after=1)]
 
     async def check(site):
         try:
@@ -91,7 +93,7 @@
     # The target receives the request and returns no valid response. A 503 would state
     # that the request did not run, but it may have.
     server = replica.Replica(events=0)
-    server.plan = [replica.Behaviour(kind)]
+    server.planned_behaviours = [replica.Behaviour(kind)]
 
     async def check(site):
         answer = await send(site, "/confirm/1")
@@ -109,7 +111,7 @@
 def test_request_that_did_not_run_goes_to_another_target():
     # A full target rejects the request, which must then run once at another target.
     servers = [replica.Replica(f"i-{n}", events=0) for n in range(2)]
-    servers[0].plan = [replica.Behaviour("refuse")] * 4
+    servers[0].planned_behaviours = [replica.Behaviour("refuse")] * 4
 
     async def check(site):
         for number in range(4):
@@ -126,7 +128,7 @@
     # All targets reject the request. The caller must get a Retry-After at once instead
     # of waiting until its deadline.
     server = replica.Replica(events=0)
-    server.plan = [replica.Behaviour("refuse")] * 10
+    server.planned_behaviours = [replica.Behaviour("refuse")] * 10
 
     async def check(site):
         answer = await send(site, "/confirm/1")
@@ -141,7 +143,7 @@
     # A target sends an unsolicited second response. Matched to the next request on the
     # connection, it would leak one caller's data to another.
     server = replica.Replica(events=0)
-    server.plan = [replica.Behaviour("extra") for _ in range(3)]
+    server.planned_behaviours = [replica.Behaviour("extra") for _ in range(3)]
 
     async def check(site):
         for number in range(4):
@@ -155,7 +157,9 @@
 
 def test_truncated_response_of_a_repeatable_request_is_retried():
     servers = [replica.Replica(f"i-{n}", events=0) for n in range(2)]
-    servers[0].plan = servers[1].plan = [replica.Behaviour(cut_after=2)]
+    servers[0].planned_behaviours = servers[1].planned_behaviours = [
+        replica.Behaviour(cut_after=2)
+    ]
 
     async def check(site):
         for number in range(2):
@@ -185,7 +189,7 @@
 def test_caller_that_leaves_frees_its_target():
     # A caller disconnects in the middle of a stream. The target must stop working on
     # the request.
-    server = replica.Replica(events=200, gap_s=0.02)
+    server = replica.Replica(events=200, event_interval_s=0.02)
 
     async def check(site):
         task = asyncio.create_task(send(site, "/chat/1"))
@@ -201,7 +205,7 @@
     # A target accepts a request and never responds. At the route's timeout the caller
     # must get a 504, not a refusal, since the request may have run.
     server = replica.Replica(events=0)
-    server.plan = [replica.Behaviour("silent")]
+    server.planned_behaviours = [replica.Behaviour("silent")]
     route = platform_site.make_route("/slow/", "non_idempotent", timeout_ms=300)
 
     async def check():
@@ -215,7 +219,7 @@
 
 def test_event_out_of_order_is_not_passed_on():
     server = replica.Replica()
-    server.plan = [replica.Behaviour("wrong_order")]
+    server.planned_behaviours = [replica.Behaviour("wrong_order")]
 
     async def check(site):
         with pytest.raises(http_client.TransportError):
@@ -264,7 +268,7 @@
         assert headers["X-Other"] == "a,b"
         assert headers["Accept"] == "x/y;q=0.5"
         assert "X-Hop" not in headers and "Transfer-Encoding" not in headers
-        assert server.uris == ["/fetch/a%2Fb?q=1&q=%20&r"]
+        assert server.request_uris == ["/fetch/a%2Fb?q=1&q=%20&r"]
 
     run_with([server], check)
 
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -148,7 +148,7 @@
             await wait.wait_for(lambda: one.neighbours.peers, 10, 0.01)
             await wait.wait_for(is_replaced, 10, 0.01)
             since = time.monotonic()
-            site.store.board.place(faults.Order("down"))
+            site.store.fault_injector.inject(faults.Fault("down"))
             await wait.wait_for(lambda: not is_replaced(), 10, 0.01)
             other.neighbours._transport.abort()
             other.neighbours._transport = None
--- a/pimentowick/gateway/tests/test_transcript.py
+++ b/pimentowick/gateway/tests/test_transcript.py
@@ -98,11 +98,11 @@
         calls = outside.calls["/-/log-append"]
         finishing = asyncio.create_task(made.finish(10))
         await wait.wait_for(lambda: outside.calls["/-/log-append"] > calls, 5, 0.001)
-        outside.late_s = 0.6
+        outside.append_delay_s = 0.6
         await wait.wait_for(
             lambda: outside.calls["/-/log-append"] > calls + 1, 5, 0.001
         )
-        outside.late_s = None
+        outside.append_delay_s = None
         await finishing
         records = outside.get_partition("keyed.outcomes", 0)
         await wait.wait_for(lambda: records.end >= 2, 5, 0.005)
@@ -116,7 +116,9 @@
         await one.accept()
         made = await one.open_transcript()
         add(made, "a", 1, 2)
-        outside.board.place(faults.Order("lose_answer", count=1, path="/-/log-append"))
+        outside.fault_injector.inject(
+            faults.Fault("lose_answer", count=1, path="/-/log-append")
+        )
         await made.save(5)
         add(made, "a", 3, 3)
         await made.finish(5)
--- a/pimentowick/load/tests/test_runner.py
+++ b/pimentowick/load/tests/test_runner.py
@@ -32,12 +32,12 @@
 
 
 def check_text(prompt, max_tokens, text):
-    return text == engine.expect_text(f"user: {prompt}", max_tokens)
+    return text == engine.make_expected_text(f"user: {prompt}", max_tokens)
 
 
 def test_experiment_is_answered_and_reported():
     async def run():
-        fleet = embedded.Embedded()
+        fleet = embedded.EmbeddedDeployment()
         try:
             await fleet.start()
             described = experiment.Experiment.model_validate(EXPERIMENT)
--- a/pimentowick/membership/tests/test_fleet.py
+++ b/pimentowick/membership/tests/test_fleet.py
@@ -262,7 +262,9 @@
     """
 
     async def check():
-        deployment = embedded.Embedded(entry_settings={"idle_heartbeat_s": 0.3})
+        deployment = embedded.EmbeddedDeployment(
+            entry_settings={"idle_heartbeat_s": 0.3}
+        )
         try:
             await deployment.start()
             agent = deployment.agents["agent-lm-0"]
--- a/pimentowick/placement/tests/conftest.py
+++ b/pimentowick/placement/tests/conftest.py
@@ -83,7 +83,7 @@
                 await asyncio.sleep(0.01)
 
     def place_fault(self, server, kind, **fields):
-        server.board.place(faults.Order(kind, **fields))
+        server.fault_injector.inject(faults.Fault(kind, **fields))
 
     def list_orders(self):
         """Return the orders that the engine has carried out."""
--- a/pimentowick/placement/tests/test_decider.py
+++ b/pimentowick/placement/tests/test_decider.py
@@ -14,7 +14,7 @@
 }
 
 
-class Placed(embedded.Embedded):
+class Placed(embedded.EmbeddedDeployment):
     """An embedded deployment with a weight store and placed models."""
 
     def __init__(self, max_models=2, **fields):
@@ -229,7 +229,9 @@
 
     async def check(fleet):
         for target in fleet.targets.values():
-            target.board.place(faults.Order("lose_answer", count=1, path="/orders"))
+            target.fault_injector.inject(
+                faults.Fault("lose_answer", count=1, path="/orders")
+            )
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: len(fleet.list_orders()) == 2)
         await fleet.wait_for(fleet.is_settled)
@@ -245,14 +247,14 @@
     loaded stays, and the model comes once the store is back."""
 
     async def check(fleet):
-        fleet.store.board.place(faults.Order("down"))
+        fleet.store.fault_injector.inject(faults.Fault("down"))
         await fleet.place(MODELS)
         await fleet.wait_for(
             lambda: any(e.decider._failed_at for e in fleet.entries.values())
         )
         assert fleet.list_orders() == []
         assert (await fleet.chat("hello")).status == 200
-        fleet.store.board.place(faults.Order("clear"))
+        fleet.store.fault_injector.inject(faults.Fault("clear"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
 
     run_placed(check)
@@ -311,11 +313,11 @@
     async def check(fleet):
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: fleet.store.transfers == 1)
-        fleet.log.board.place(faults.Order("down"))
+        fleet.log.fault_injector.inject(faults.Fault("down"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         owners = [e for e in fleet.entries.values() if e.decider.is_owner]
         assert len(owners) == 1
-        fleet.log.board.place(faults.Order("clear"))
+        fleet.log.fault_injector.inject(faults.Fault("clear"))
 
     run_placed(check)
 
--- a/pimentowick/platform/tests/test_store.py
+++ b/pimentowick/platform/tests/test_store.py
@@ -39,8 +39,8 @@
     # their small links. Each read would be given up on before its end, again and
     # again, and no entry would know the jobs that it has to run.
     async def check(outside, client):
-        order = faults.Order("trickle", seconds=TIMEOUT_S / 4, path="/-/log-")
-        outside.board.place(order)
+        order = faults.Fault("trickle", seconds=TIMEOUT_S / 4, path="/-/log-")
+        outside.fault_injector.inject(order)
         page = await read(client)
         assert [len(record.value) for record in page.records] == [20_000] * 4
         assert page.end == 4
@@ -52,7 +52,7 @@
 def test_answer_that_stops_arriving_is_given_up(read):
     # The connection falls silent in the middle of an answer.
     async def check(outside, client):
-        outside.board.place(faults.Order("stall", path="/-/log-"))
+        outside.fault_injector.inject(faults.Fault("stall", path="/-/log-"))
         with pytest.raises(store.UncertainError):
             await read(client)
 
@@ -63,7 +63,7 @@
     # Given up on after the time of a small call, an append over a slow link would
     # never get through, however often it is tried again.
     async def check(outside, client):
-        outside.board.place(faults.Order("slow", seconds=TIMEOUT_S * 1.5))
+        outside.fault_injector.inject(faults.Fault("slow", seconds=TIMEOUT_S * 1.5))
         records = [store.KeyedRecord("k", b"x" * 600_000)]
         assert await client.append("keyed.t", 0, records, 4) == 5
         with pytest.raises(store.UncertainError):
--- a/pimentowick/replication/tests/memory.py
+++ b/pimentowick/replication/tests/memory.py
@@ -35,7 +35,7 @@
             raise exception.LogUnavailableError("no answer")
         try:
             first, _ = self.kept.append(stream, records)
-        except fake_log.RateError as error:
+        except fake_log.RateLimitError as error:
             raise exception.LogFullError(str(error)) from error
         if self.lose_answers:
             self.lose_answers -= 1
@@ -49,12 +49,12 @@
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
-        while self.kept.measure(stream)[1] <= offset and loop.time() < until:
+        while self.kept.get_offsets(stream)[1] <= offset and loop.time() < until:
             await asyncio.sleep(POLL_S)
         self._check()
         rows = self.kept.read(stream, offset, limit)
         records = [(at, json.loads(text)) for at, text in rows]
-        return external_log.Page(records, *self.kept.measure(stream))
+        return external_log.Page(records, *self.kept.get_offsets(stream))
 
     def land_late(self):
         """Let the held appends take effect."""
--- a/pimentowick/soak/fleet.py
+++ b/pimentowick/soak/fleet.py
@@ -107,7 +107,8 @@
         self._count = gateways
         self.store = platform_store.PlatformStore()
         self.replicas = [
-            replica.Replica(f"i-{n}", events=12, gap_s=0.02) for n in range(replicas)
+            replica.Replica(f"i-{n}", events=12, event_interval_s=0.02)
+            for n in range(replicas)
         ]
         self.gateways = []
         self.client = http_client.Client(max_connections=200)
@@ -118,7 +119,7 @@
         await self.store.start()
         for each in self.replicas:
             await each.start()
-            self.store.put("keyed.servers", each.id, each.describe("lm"))
+            self.store.put("keyed.servers", each.id, each.make_registration("lm"))
         routes = [
             platform_site.make_route("/chat/", "stream", resumable=True),
             platform_site.make_route("/draft/", "stream"),
--- a/pimentowick/soak/trouble.py
+++ b/pimentowick/soak/trouble.py
@@ -65,35 +65,37 @@
         gateway.send(signal.SIGHUP)
 
     async def _store_down(self):
-        await self._order_store(faults.Order("down"))
+        await self._order_store(faults.Fault("down"))
 
     async def _store_slow(self):
-        await self._order_store(faults.Order("slow", seconds=0.4))
+        await self._order_store(faults.Fault("slow", seconds=0.4))
 
     async def _order_store(self, order):
-        board = self._fleet.store.board
-        board.place(order)
+        fault_injector = self._fleet.store.fault_injector
+        fault_injector.inject(order)
         await asyncio.sleep(self._draw.uniform(1.0, 3.0))
-        board.orders.remove(order)
+        fault_injector.active_faults.remove(order)
 
     async def _lose_answers(self):
         count = self._draw.randint(1, 6)
-        self._fleet.store.board.place(
-            faults.Order("lose_answer", count=count, path=APPEND)
+        self._fleet.store.fault_injector.inject(
+            faults.Fault("lose_answer", count=count, path=APPEND)
         )
 
     async def _late_appends(self):
-        self._fleet.store.late_s = self._draw.uniform(0.5, 2.0)
+        self._fleet.store.append_delay_s = self._draw.uniform(0.5, 2.0)
         await asyncio.sleep(1.0)
-        self._fleet.store.late_s = None
+        self._fleet.store.append_delay_s = None
 
     async def _silent_connections(self):
-        self._fleet.store.board.freeze(faults.Order("freeze"))
+        self._fleet.store.fault_injector.freeze(faults.Fault("freeze"))
 
     async def _break_answers(self):
         for each in self._fleet.replicas:
-            each.plan += [
-                replica.Behaviour(cut_after=self._draw.randint(0, 8), half_event=True),
+            each.planned_behaviours += [
+                replica.Behaviour(
+                    cut_after=self._draw.randint(0, 8), partial_event=True
+                ),
                 replica.Behaviour("vanish"),
                 replica.Behaviour("refuse"),
                 replica.Behaviour("unsigned"),
--- a/pimentowick/tests/test_fault_run.py
+++ b/pimentowick/tests/test_fault_run.py
@@ -15,4 +15,4 @@
     run at most once, and each item of the job has one right result.
     """
     report = asyncio.run(fault_run.run_faults(seed, rounds=4))
-    assert report.whole
+    assert report.complete
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -80,7 +80,7 @@
 
 def check_nothing_waited(watch, callers):
     assert not any(watch.count().values()), watch.count()
-    assert all(outcome.whole for outcome in callers.outcomes)
+    assert all(outcome.complete for outcome in callers.outcomes)
 
 
 @pytest.mark.parametrize("stalled", [False, True])
@@ -97,9 +97,11 @@
         await fleet.wait_for(lambda: len(target.running) >= 3)
         if stalled:
             count = len(target.running)
-            order = faults.Order("stall", count=count, path="/generate")
-            target.board.place(order)
-            await fleet.wait_for(lambda: order not in target.board.orders)
+            order = faults.Fault("stall", count=count, path="/generate")
+            target.fault_injector.inject(order)
+            await fleet.wait_for(
+                lambda: order not in target.fault_injector.active_faults
+            )
         await call_often(callers)
         job = await fleet.fetch("GET", f"/v1/batches/{answer.decode()['id']}")
         assert job.decode()["request_counts"]["pending"] > 0
--- a/pimentowick/tests/test_planned_stop.py
+++ b/pimentowick/tests/test_planned_stop.py
@@ -24,7 +24,7 @@
 }
 
 
-class Deployed(embedded.Embedded):
+class Deployed(embedded.EmbeddedDeployment):
     """A deployment of separate processes, asked as an embedded one is."""
 
     def __init__(self, processes):
@@ -161,7 +161,7 @@
         answer = await kept.ask(fleet.tokens["a"])
         assert b" 503 " in answer and b'"not_run"' in answer
         outcomes = await asyncio.gather(*tasks)
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
         assert await stopping == 0
         if with_job:
             await check_job(fleet, job_id)
@@ -181,7 +181,7 @@
         tasks = await start_calls(fleet, callers, "entry-0")
         assert await fleet.processes.stop("agent-lm-0") == 0
         outcomes = await asyncio.gather(*tasks)
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
         await check_job(fleet, job_id)
         await fleet.read_runs()
         for outcome in outcomes:
@@ -199,14 +199,14 @@
 
     async def check(fleet, callers):
         for target in fleet.targets.values():
-            target.board.place(faults.Order("stall", path="/generate"))
+            target.fault_injector.inject(faults.Fault("stall", path="/generate"))
         task = asyncio.ensure_future(callers.stream("x", 20))
         await fleet.wait_for(lambda: callers.outcomes and callers.outcomes[0].text)
         entry = fleet.entries["entry-0"]
         await entry.drain()
         assert not task.done()
         await fleet.crash("entry-0")
-        assert not (await task).whole
+        assert not (await task).complete
 
     fake_callers.run_with_callers(
         check, entry_settings={"drain_s": 0.5}, agent_settings={"idle_s": 60.0}
@@ -234,7 +234,7 @@
         for number in range(20)
     ]
     outcomes = await asyncio.gather(*calls)
-    broken = [(each.status, each.error) for each in outcomes if not each.whole]
+    broken = [(each.status, each.error) for each in outcomes if not each.complete]
     assert broken == []
 
 
@@ -243,7 +243,7 @@
 
     async def check(fleet, callers):
         agent = fleet.agents["agent-lm-0"]
-        await fleet.list_host("agent-lm-0", "agent", agent.address, "leaving")
+        await fleet.register_host("agent-lm-0", "agent", agent.address, "leaving")
         await fleet.wait_for(lambda: is_avoided(fleet, "agent-lm-0"))
         before = count_requests(fleet.targets["lm-0"])
         answer = await fleet.submit(embedded.make_job_lines(ITEMS), "k")
@@ -268,7 +268,7 @@
         await fleet.wait_for(lambda: target.runs)
         agent = fleet.agents["agent-lm-0"]
         faulty = getattr(fleet, down)
-        faulty.board.place(faults.Order("down"))
+        faulty.fault_injector.inject(faults.Fault("down"))
         fleet.entries["entry-1"].fleet._supervisor.stop_child("agent-lm-0")
         draining = asyncio.ensure_future(agent.drain())
         await fleet.wait_for(lambda: agent.state == "draining")
@@ -277,7 +277,7 @@
         assert await draining
         await fleet.crash("agent-lm-0")
         await call_all_entries(fleet, callers)
-        faulty.board.place(faults.Order("clear"))
+        faulty.fault_injector.inject(faults.Fault("clear"))
         await fleet.wait_for_job(answer.decode()["id"])
         assert count_requests(target) == before
 
--- a/pimentowick/tests/test_tls.py
+++ b/pimentowick/tests/test_tls.py
@@ -47,7 +47,7 @@
 def run(keys, check, **entry_settings):
     async def run_check():
         files = {"tls": describe_files(keys, "host")}
-        fleet = embedded.Embedded(
+        fleet = embedded.EmbeddedDeployment(
             entry_settings={**files, **entry_settings}, agent_settings=files
         )
         fleet.caller_client = http_client.Client(
@@ -176,7 +176,7 @@
         ]
         for server in servers:
             await server.start()
-        fleet = embedded.Embedded(entries=1, engines=0, services=0)
+        fleet = embedded.EmbeddedDeployment(entries=1, engines=0, services=0)
         await fleet.client.start()
         platform = {"log": servers[0].address, "hosts": servers[1].address}
         entry = daemon.Entry(
@@ -207,7 +207,7 @@
 
     async def check():
         files = describe_files(keys, "elsewhere")
-        fleet = embedded.Embedded(entries=1, engines=0, services=0)
+        fleet = embedded.EmbeddedDeployment(entries=1, engines=0, services=0)
         await fleet.log.start()
         await fleet.hosts.start()
         await fleet.client.start()
--- a/pimentowick/tests/test_whole_path.py
+++ b/pimentowick/tests/test_whole_path.py
@@ -58,7 +58,7 @@
 
 async def check_answers(client):
     messages = [{"role": "user", "content": "Which stands are free?"}]
-    expected = engine.expect_text("user: Which stands are free?", 12)
+    expected = engine.make_expected_text("user: Which stands are free?", 12)
     whole = await client.chat.completions.create(
         model="asistente-lm", messages=messages, max_tokens=12
     )
@@ -73,7 +73,7 @@
     text = await client.completions.create(
         model="asistente-lm", prompt="Hall plan", max_tokens=5
     )
-    assert text.choices[0].text == engine.expect_text("Hall plan", 5)
+    assert text.choices[0].text == engine.make_expected_text("Hall plan", 5)
     models = await client.models.list()
     assert [model.id for model in models.data] == ["asistente-lm"]
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -47,7 +47,7 @@
 
 def expect_answer(content):
     """Return the answer that the stand-in engine gives to one user message."""
-    return engine.expect_text(f"user: {content}", MAX_TOKENS)
+    return engine.make_expected_text(f"user: {content}", MAX_TOKENS)
 
 
 async def call_online(fleet, model, token, sentence, number):
