--- a/pimentowick/entry/tests/test_cancel.py
+++ b/pimentowick/entry/tests/test_cancel.py
@@ -164,7 +164,9 @@
 
             def is_held():
                 name = job_id.encode()
-                return any(name in piece for each in relays for piece in each.held)
+                return any(
+                    name in piece for each in relays for piece in each.held_chunks
+                )
 
             await fleet.wait_for(is_held)
             runs, counts = await check_stopped(fleet, job_id, owner)
--- a/pimentowick/fakes/relay.py
+++ b/pimentowick/fakes/relay.py
@@ -20,14 +20,14 @@
     Attributes:
         address: ``IP:port`` that it listens on, once started.
         opened: Number of connections taken.
-        held: Pieces on their way to the target that `hold` keeps back.
+        held_chunks: Pieces on their way to the target that `hold` keeps back.
     """
 
     def __init__(self, target):
         self.target = target
         self.address = None
         self.opened = 0
-        self.held = []
+        self.held_chunks = []
         self._passing = set()
         # Events on which each connection passes bytes on to the target.
         self._gates = set()
@@ -105,7 +105,7 @@
             while piece := await source.read(PIECE_BYTES):
                 if not gate.is_set():
                     was_held = True
-                    self.held.append(piece)
+                    self.held_chunks.append(piece)
                     await gate.wait()
                 sink.write(piece)
                 await sink.drain()
