--- a/pimentowick/fakes/__init__.py
+++ b/pimentowick/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests and the demo."""
+"""Fakes of the outside systems, for tests and the demo."""
--- a/pimentowick/fakes/__main__.py
+++ b/pimentowick/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process."""
+"""Runs one fake server as a process."""
 
 import argparse
 import asyncio
@@ -19,7 +19,7 @@
 
 
 def parse_setting(text):
-    """Return name and value of `name=value`; the value is JSON or else a string."""
+    """Return name and value of ``name=value``; the value is JSON or a plain string."""
     name, separator, value = text.partition("=")
     if not separator:
         raise argparse.ArgumentTypeError(f"not name=value: {text!r}")
@@ -40,27 +40,27 @@
     return parser
 
 
-async def serve(stand_in):
-    """Serve until SIGTERM or SIGINT."""
+async def serve(fake):
+    """Start a fake, print its address and serve until SIGTERM or SIGINT."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    await stand_in.start()
-    print(json.dumps({"listening": stand_in.address}), flush=True)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
+    await fake.start()
+    print(json.dumps({"listening": fake.address}), flush=True)
     await stopped.wait()
-    await stand_in.close()
+    await fake.close()
 
 
 def run(arguments=None):
-    """Run the stand-in that the command line names."""
+    """Run the fake given on the command line."""
     parser = make_parser()
     options = parser.parse_args(arguments)
     try:
-        stand_in = KINDS[options.kind](options.port, **dict(options.settings))
+        fake = KINDS[options.kind](options.port, **dict(options.settings))
     except TypeError as error:
         parser.error(str(error))
-    asyncio.run(serve(stand_in))
+    asyncio.run(serve(fake))
 
 
 if __name__ == "__main__":
--- a/pimentowick/fakes/deployment.py
+++ b/pimentowick/fakes/deployment.py
@@ -1,7 +1,6 @@
-"""Starts a whole deployment as separate processes on loopback.
+"""Runs a whole deployment as separate processes on loopback.
 
-This is for the demo, for tests and for trials; no daemon uses it. Everything that it
-starts is ended by `Deployment.close`.
+It is used by the demo, tests and benchmarks. `Deployment.close` stops all processes.
 """
 
 import asyncio
@@ -34,24 +33,24 @@
     """One process of a deployment.
 
     Attributes:
-        name: Name of the host, or of the outside system.
+        name: Name of the host, of the target or of the fake.
         address: ``IP:port`` that it listens on.
-        handle: The process.
-        fields: What the host list says of it, for hosts.
+        handle: The operating system's process.
+        registration: Fields of its record in the host list; None if it is no host.
     """
 
     name: str
     address: str
     handle: asyncio.subprocess.Process
-    fields: dict | None = None
+    registration: dict | None = None
 
     def send_signal(self, number):
-        """Send a signal to this process."""
+        """Send a signal to the process."""
         self.handle.send_signal(number)
 
 
 def load_topology(path):
-    """Return a deployment's description from a YAML file."""
+    """Load the topology of a deployment from a YAML file."""
     return yaml.safe_load(pathlib.Path(path).read_text(encoding="utf-8"))
 
 
@@ -60,15 +59,15 @@
 
     Args:
         topology: Dictionary as `load_topology` returns it.
-        entry_settings: Settings that all entries get besides the needed ones.
-        agent_settings: The same for agents.
-        fakes: Dictionary from the kind of a stand-in to its settings.
+        entry_settings: Settings of all entries that differ from the defaults.
+        agent_settings: Settings of all agents that differ from the defaults.
+        fakes: Settings of the fakes, by their kind.
         log_level: Log level of the daemons.
 
     Attributes:
         processes: `Process` by name.
-        operator_token: Token of an operator.
-        workspace_tokens: Token of each workspace, once `publish` was called.
+        operator_token: API token of an operator.
+        workspace_tokens: API token by workspace, set by `publish`.
     """
 
     def __init__(
@@ -86,13 +85,13 @@
         self.client = http_client.Client(256)
         self._entry_settings = entry_settings or {}
         self._agent_settings = agent_settings or {}
-        self._fakes = fakes or {}
+        self._fake_settings = fakes or {}
         self._log_level = log_level
         self._directory = tempfile.TemporaryDirectory(prefix="pimentowick-")
         self._counters = {}
 
     async def start(self):
-        """Start everything, and return once every entry sees every agent."""
+        """Start all processes and wait until every entry sees every agent."""
         await self.client.start()
         await asyncio.gather(*(self.start_fake(k, k) for k in ("log", "hosts")))
         starts = []
@@ -105,7 +104,7 @@
         await self.wait_ready()
 
     async def close(self):
-        """End all processes, those that need the others first."""
+        """Stop all processes: entries first, then agents, then the rest."""
         for role in ("entry", "agent", None):
             names = [
                 name
@@ -126,19 +125,25 @@
         """The running agents."""
         return [each for each in self.processes.values() if _has_role(each, "agent")]
 
-    def _get_domain(self, index):
+    def _get_failure_domain(self, index):
         domains = self.topology["failure_domains"]
         return domains[index % len(domains)]
 
     async def start_fake(self, name, kind, **fields):
-        """Start a stand-in of an outside system."""
+        """Start a fake as a process.
+
+        Args:
+            name: Name of the process.
+            kind: Kind of the fake; see `pimentowick.fakes.__main__`.
+            **fields: Further settings of the fake.
+        """
         arguments = ["-m", "pimentowick.fakes", kind]
-        for key, value in {**self._fakes.get(kind, {}), **fields}.items():
+        for key, value in {**self._fake_settings.get(kind, {}), **fields}.items():
             arguments += ["--set", f"{key}={json.dumps(value)}"]
         return await self._spawn(name, arguments)
 
     async def start_target(self, group, index):
-        """Start a target and its agent."""
+        """Start a fake target and its agent."""
         name = f"{group['service']}-{index}"
         kind = group["kind"]
         fields = {"models": [group["service"]]} if kind == "engine" else {}
@@ -146,10 +151,10 @@
         await self.start_agent(name, group, index, target.address)
 
     async def start_agent(self, name, group, index, address):
-        """Start the agent of a target that runs."""
+        """Start the agent of a running target."""
         settings = {
             "name": f"agent-{name}",
-            "failure_domain": self._get_domain(index),
+            "failure_domain": self._get_failure_domain(index),
             "log_level": self._log_level,
             "batch_harm": self.topology.get("batch_harm", "averse"),
             **self._agent_settings,
@@ -168,7 +173,7 @@
         """Start an entry."""
         settings = {
             "name": f"entry-{index}",
-            "failure_domain": self._get_domain(index),
+            "failure_domain": self._get_failure_domain(index),
             "log_level": self._log_level,
             "operators": [self._operator.to_dict()],
             **self._entry_settings,
@@ -186,13 +191,13 @@
         path = pathlib.Path(self._directory.name) / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         process = await self._spawn(name, ["-m", f"pimentowick.{role}", str(path)])
-        process.fields = {
+        process.registration = {
             "role": role,
             "address": process.address,
             "failure_domain": settings["failure_domain"],
             "state": "live",
         }
-        await self.register_host(name, **process.fields)
+        await self.register_host(name, **process.registration)
 
     async def _spawn(self, name, arguments):
         environment = {**os.environ, "PYTHONPATH": str(PACKAGE_ROOT)}
@@ -208,9 +213,11 @@
             address = json.loads(line)["listening"]
         except (TimeoutError, ValueError) as error:
             handle.kill()
-            raise exception.UnavailableError(f"{name} did not start.") from error
+            raise exception.UnavailableError(
+                f"{name} did not report its address on standard output"
+            ) from error
         except asyncio.CancelledError:
-            # Not in the list yet, it would outlive the deployment.
+            # The process is not registered yet, so `close` would not stop it.
             handle.kill()
             await handle.wait()
             raise
@@ -219,26 +226,26 @@
         return process
 
     async def register_host(self, name, **fields):
-        """Put a host into the host list, or change what is said of it."""
+        """Add a host to the host list or update it."""
         await self.client.fetch(
             "PUT", self.processes["hosts"].address, f"/hosts/{name}", fields
         )
 
     async def unregister_host(self, name):
-        """Take a host off the host list."""
+        """Remove a host from the host list."""
         await self.client.fetch(
             "DELETE", self.processes["hosts"].address, f"/hosts/{name}"
         )
 
     async def kill(self, name):
-        """Kill a process without warning; the host list does not learn of it."""
+        """Kill a process without unregistering its host."""
         process = self.processes.pop(name)
         with contextlib.suppress(ProcessLookupError):
             process.handle.kill()
         await process.handle.wait()
 
     async def stop(self, name):
-        """Ask a process to stop, wait for it, and return its exit code."""
+        """Stop a process with SIGTERM, or SIGKILL on timeout; return its exit code."""
         process = self.processes.pop(name)
         with contextlib.suppress(ProcessLookupError):
             process.handle.send_signal(signal.SIGCONT)
@@ -251,37 +258,46 @@
             return await process.handle.wait()
 
     async def fetch(self, entry, method, path, body=None, token=None, **fields):
-        """Send a request to an entry, by its number among the running ones."""
+        """Send a request to an entry.
+
+        Args:
+            entry: Index of the entry among the running ones.
+            method: HTTP method.
+            path: Path of the request.
+            body: JSON body, or None.
+            token: API token; that of the operator if None.
+            **fields: Further arguments of `pimentowick.client.Client.fetch`.
+        """
         headers = dict(fields.pop("headers", {}))
         headers["Authorization"] = f"Bearer {token or self.operator_token}"
         address = self.entries[entry % len(self.entries)].address
         return await self.client.fetch(method, address, path, body, headers, **fields)
 
     async def wait_for(self, predicate, timeout_s=START_TIMEOUT_S):
-        """Wait for a condition; see `pimentowick.fakes.wait.wait_for`."""
+        """Wait for a condition, as `pimentowick.fakes.wait.wait_for` does."""
         return await wait.wait_for(predicate, timeout_s, READY_POLL_S)
 
     async def wait_ready(self):
-        """Wait until every entry is ready and sees every agent as usable."""
-        await self.wait_for(self._sees_all)
+        """Wait until every entry is ready and every agent usable."""
+        await self.wait_for(self._is_ready)
 
-    async def _sees_all(self):
-        wanted = {agent.name for agent in self.agents}
+    async def _is_ready(self):
+        expected = {agent.name for agent in self.agents}
         names = {entry.name for entry in self.entries}
         for index in range(len(self.entries)):
-            answer = await self.fetch(index, "GET", "/v1/admin/status")
-            if answer.status != 200:
+            response = await self.fetch(index, "GET", "/v1/admin/status")
+            if response.status != 200:
                 return False
-            status = answer.decode()
+            status = response.decode()
             usable = {n for n, agent in status["agents"].items() if agent["usable"]}
-            if not wanted <= usable or not names <= set(status["entries"]):
+            if not expected <= usable or not names <= set(status["entries"]):
                 return False
             if not all(shard["ready"] for shard in status["shards"].values()):
                 return False
         return True
 
     async def publish(self):
-        """Publish the template and the workspaces of the topology."""
+        """Publish the template and the workspaces of the topology, with API tokens."""
         template = self.topology["template"]
         version = await self.change("template", template["name"], 0, template["body"])
         for name, parameters in self.topology["workspaces"].items():
@@ -297,13 +313,24 @@
             self.workspace_tokens[name] = text
 
     async def change(self, kind, name, amends, body, entry=0):
-        """Publish one change, wait until it is in force, and return its version."""
+        """Publish a configuration change, wait until applied, and return its version.
+
+        Args:
+            kind: Kind of the document, such as ``workspace``.
+            name: Name of the document.
+            amends: Version that the change is based on; 0 for a new document.
+            body: The document.
+            entry: Index of the entry among the running ones.
+
+        Raises:
+            ConflictError: The change was rejected.
+        """
         message = {"amends": amends, "body": body, "wait": True}
-        answer = await self.fetch(entry, "PUT", f"/v1/admin/{kind}/{name}", message)
-        if answer.status != 200:
-            raise exception.ConflictError(answer.body.decode())
-        return answer.decode()["version"]
+        response = await self.fetch(entry, "PUT", f"/v1/admin/{kind}/{name}", message)
+        if response.status != 200:
+            raise exception.ConflictError(response.body.decode())
+        return response.decode()["version"]
 
 
 def _has_role(process, role):
-    return process.fields is not None and process.fields["role"] == role
+    return process.registration is not None and process.registration["role"] == role
--- a/pimentowick/fakes/embedded.py
+++ b/pimentowick/fakes/embedded.py
@@ -1,8 +1,8 @@
-"""A small deployment within one event loop, for tests of failures.
+"""A small deployment within one process, for integration tests.
 
-Entries and agents are the real ones, behind real sockets; only the processes are
-left out, so that a test can look inside, and starts within milliseconds. What needs
-a kill or a freeze of a process uses `pimentowick.fakes.deployment`.
+Real entries and agents communicate with fakes over sockets in a single event loop, so
+that a test starts fast and can inspect their state. Tests that kill or suspend
+processes use `pimentowick.fakes.deployment`.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
         "services": {SERVICE: {"idempotent": False, "deadline_s": 5.0}},
     },
 }
-# Shorter than those of a real deployment, so that tests wait less.
+# The timeouts are shorter than in a real deployment, so that tests run faster.
 ENTRY_SETTINGS = {
     "shards": 2,
     "host_poll_s": 0.1,
@@ -60,7 +60,7 @@
 
 
 class EmbeddedDeployment:
-    """A deployment in this process.
+    """A deployment within this process.
 
     Args:
         entries: Number of entries.
@@ -68,18 +68,18 @@
         services: Number of plain services, each with an agent.
         entry_settings: Settings of the entries that differ from `ENTRY_SETTINGS`.
         agent_settings: Settings of the agents that differ from `AGENT_SETTINGS`.
-        engine_settings: Settings of the stand-in engines.
-        log_settings: Settings of the stand-in log.
-        host_lag_s: Lag of the stand-in host list, in seconds.
+        engine_settings: Settings of the fake engines.
+        log_settings: Settings of the fake log.
+        host_lag_s: Lag of the fake host list, in seconds.
 
     Attributes:
-        log: The stand-in log.
-        hosts: The stand-in host list.
-        entries: Entries by name; `entry-0` and so on.
-        agents: Agents by name; `agent-lm-0`, `agent-desk-0` and so on.
-        targets: Stand-in engines and services by name; `lm-0`, `desk-0` and so on.
-        tokens: Token of each workspace, `a` and `b`.
-        caller_client: Client that `fetch` uses; None for that of the stand-ins.
+        log: The fake log.
+        hosts: The fake host list.
+        entries: Entries by name; ``entry-0`` and so on.
+        agents: Agents by name; ``agent-lm-0``, ``agent-desk-0`` and so on.
+        targets: Fake engines and services by name; ``lm-0``, ``desk-0`` and so on.
+        tokens: API token by workspace, ``a`` and ``b``.
+        caller_client: HTTP client of `fetch`; None for the one that is shared.
     """
 
     caller_client = None
@@ -109,7 +109,7 @@
         self._engine_settings = {"base_step_ms": 2, **(engine_settings or {})}
 
     async def start(self):
-        """Start everything and publish two workspaces, `a` and `b`."""
+        """Start all components and publish the workspaces ``a`` and ``b``."""
         await self.client.start()
         await self.log.start()
         await self.hosts.start()
@@ -126,7 +126,7 @@
         await self.publish()
 
     async def close(self):
-        """Close everything."""
+        """Close all components."""
         for group in (self.entries, self.agents, self.targets):
             for name in list(group):
                 await group.pop(name).close()
@@ -134,20 +134,20 @@
         await self.log.close()
         await self.client.close()
 
-    async def add_target(self, name, kind, served, target):
-        """Start a stand-in and an agent beside it."""
+    async def add_target(self, name, kind, service_name, target):
+        """Start a fake target and its agent."""
         await target.start()
         self.targets[name] = target
-        await self.add_agent(f"agent-{name}", name, kind, served)
+        await self.add_agent(f"agent-{name}", name, kind, service_name)
 
-    async def add_agent(self, name, target_name, kind, served):
-        """Start an agent beside a stand-in that runs."""
+    async def add_agent(self, name, target_name, kind, service_name):
+        """Start an agent for a running target."""
         fields = dict(self._agent_settings)
         target = {
             "name": target_name,
             "address": self.targets[target_name].address,
             "kind": kind,
-            "service": served,
+            "service": service_name,
             **fields.pop("target", {}),
         }
         settings = process_settings.AgentSettings(
@@ -177,7 +177,7 @@
         return entry
 
     async def register_host(self, name, role, address, state="live"):
-        """Put a host into the host list, or change its state."""
+        """Add a host to the host list or update it."""
         fields = {
             "role": role,
             "address": address,
@@ -187,17 +187,17 @@
         await self.client.fetch("PUT", self.hosts.address, f"/hosts/{name}", fields)
 
     async def unregister_host(self, name):
-        """Take a host off the host list."""
+        """Remove a host from the host list."""
         await self.client.fetch("DELETE", self.hosts.address, f"/hosts/{name}")
 
     async def crash(self, name):
-        """Lose an entry, an agent or a target without a word to anybody."""
+        """Close an entry, agent or target without draining or unregistering it."""
         for group in (self.entries, self.agents, self.targets):
             if name in group:
                 await group.pop(name).close()
 
     def is_ready(self):
-        """Return whether every entry sees every agent and reads the log."""
+        """Return whether all entries see all agents and have caught up with the log."""
         for entry in self.entries.values():
             if not entry.is_ready or set(entry.fleet.entries) != set(self.entries):
                 return False
@@ -205,14 +205,14 @@
                 return False
             if not all(map(entry.fleet.is_usable, entry.fleet.peers.values())):
                 return False
-            if not _follows_all(entry):
+            if not _follows_all_shards(entry):
                 return False
             if not all(each.replica.ready for each in entry.table.followed.values()):
                 return False
         return True
 
     async def publish(self):
-        """Publish the template and the workspaces `a` and `b`."""
+        """Publish the template and the workspaces ``a`` and ``b``."""
         version = await self.change("template", "plain", 0, TEMPLATE)
         for name in ("a", "b"):
             text, entry = tokens.make_token()
@@ -227,18 +227,28 @@
             self.tokens[name] = text
 
     async def change(self, kind, name, amends, body):
-        """Publish one change, wait until it is in force, and return its version."""
+        """Publish a configuration change, wait until applied, and return its version.
+
+        Args:
+            kind: Kind of the document, such as ``workspace``.
+            name: Name of the document.
+            amends: Version that the change is based on; 0 for a new document.
+            body: The document.
+
+        Raises:
+            ConflictError: The change was rejected.
+        """
         message = {"amends": amends, "body": body, "wait": True}
         path = f"/v1/admin/{kind}/{name}"
-        answer = await self.fetch("PUT", path, message, token=self.operator_token)
-        if answer.status != 200:
-            raise exception.ConflictError(answer.body.decode())
-        return answer.decode()["version"]
+        response = await self.fetch("PUT", path, message, token=self.operator_token)
+        if response.status != 200:
+            raise exception.ConflictError(response.body.decode())
+        return response.decode()["version"]
 
     async def fetch(
         self, method, path, body=None, entry=None, token=None, headers=None, **fields
     ):
-        """Send a request to an entry, by default the first, as workspace `a`."""
+        """Send a request to an entry; by default to the first, as workspace ``a``."""
         name = next(iter(self.entries)) if entry is None else entry
         headers = dict(headers or {})
         headers["Authorization"] = f"Bearer {token or self.tokens.get('a')}"
@@ -247,40 +257,40 @@
         return await client.fetch(method, address, path, body, headers, **fields)
 
     async def chat(self, content, max_tokens=8, **fields):
-        """Send a chat completion and return the answer."""
+        """Request a chat completion and return the response."""
         messages = [{"role": "user", "content": content}]
         body = {"model": MODEL, "messages": messages, "max_tokens": max_tokens}
         return await self.fetch("POST", "/v1/chat/completions", body, **fields)
 
     async def submit(self, lines, key, **fields):
-        """Submit a batch job and return the answer."""
+        """Submit a batch job and return the response."""
         headers = {"Idempotency-Key": key, **fields.pop("headers", {})}
         return await self.fetch("POST", "/v1/batches", lines, headers=headers, **fields)
 
     async def read_results(self, job_id, **fields):
         """Return the results of a job as a list of dictionaries."""
-        answer = await self.fetch("GET", f"/v1/batches/{job_id}/results", **fields)
-        if answer.status != 200:
-            raise exception.UnavailableError(answer.body.decode())
-        return [orjson.loads(line) for line in answer.body.splitlines()]
+        response = await self.fetch("GET", f"/v1/batches/{job_id}/results", **fields)
+        if response.status != 200:
+            raise exception.UnavailableError(response.body.decode())
+        return [orjson.loads(line) for line in response.body.splitlines()]
 
     async def wait_for(self, predicate, timeout_s=WAIT_S):
-        """Wait for a condition; see `pimentowick.fakes.wait.wait_for`."""
+        """Wait for a condition, as `pimentowick.fakes.wait.wait_for` does."""
         return await wait.wait_for(predicate, timeout_s, POLL_S)
 
     async def wait_for_job(self, job_id, status="completed", **fields):
-        """Wait until a job has a status, and return its description."""
+        """Wait until a job has a status and return the job as a dictionary."""
 
         async def has_status():
-            answer = await self.fetch("GET", f"/v1/batches/{job_id}", **fields)
-            job = answer.decode() if answer.status == 200 else {}
+            response = await self.fetch("GET", f"/v1/batches/{job_id}", **fields)
+            job = response.decode() if response.status == 200 else {}
             return job if job.get("status") == status else None
 
         return await self.wait_for(has_status)
 
 
-def _follows_all(entry):
-    """Return whether an entry follows each shard that falls to it."""
+def _follows_all_shards(entry):
+    """Return whether an entry follows all shards assigned to it."""
     return all(
         number in entry.table.followed
         for number in range(entry.settings.shards)
@@ -289,10 +299,10 @@
 
 
 def run(check, **settings):
-    """Start a deployment, await ``check(deployment)`` and close it.
+    """Run ``check(deployment)`` in a new deployment.
 
     Args:
-        check: Coroutine function of an `EmbeddedDeployment`.
+        check: Coroutine function that takes the `EmbeddedDeployment`.
         **settings: Arguments of `EmbeddedDeployment`.
     """
 
@@ -308,7 +318,7 @@
 
 
 def make_job_lines(count, max_tokens=4, prefix="item", model=MODEL):
-    """Return the JSON lines of a job whose items are `{prefix}-0` and so on."""
+    """Return the JSON lines of a job with the items ``{prefix}-0`` and so on."""
     rows = []
     for number in range(count):
         name = f"{prefix}-{number}"
--- a/pimentowick/fakes/engine.py
+++ b/pimentowick/fakes/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine with continuous batching."""
+"""Fake of a model engine with continuous batching."""
 
 import asyncio
 import collections
@@ -26,11 +26,12 @@
 BLOCK_DIGITS = 16
 TOKEN_DIGITS = 6
 TOKEN_CHARACTERS = TOKEN_DIGITS + 2
-EVENTS_KEPT = 8192
-EXPORTS_KEPT = 1024
-DROPPED_EVERY = 7
-POISON_DIE = "POISON:die"
-POISON_BAD = "POISON:bad"
+MAX_CACHE_EVENTS = 8192
+MAX_EXPORTS = 1024
+# One in this many cache events is lost, so that readers have to cope with gaps.
+EVENT_DROP_INTERVAL = 7
+CRASH_MARKER = "POISON:die"
+REJECT_MARKER = "POISON:bad"
 
 
 def _hash_text(text):
@@ -43,9 +44,10 @@
 
 
 def make_token(prompt, index):
-    """Return the token at an index of the answer to a prompt.
+    """Return the token at an index of the completion of a prompt.
 
-    The first token is the start of the prompt's own hash.
+    Tokens are derived from the hash of the prompt, so that tests can predict them. The
+    first token is a prefix of the hash itself.
 
     >>> make_token("hello", 0)
     ' p2cf24d'
@@ -57,17 +59,17 @@
 
 
 def make_expected_text(prompt, max_tokens):
-    """Return the whole answer to a prompt, `max_tokens` tokens long."""
+    """Return the completion of a prompt with `max_tokens` tokens."""
     return "".join(make_token(prompt, index) for index in range(max_tokens))
 
 
 def hash_blocks(prompt):
-    """Return the cache blocks of a prompt, shortest prefix first."""
+    """Return the hashes that identify the cache blocks of a prompt, in order."""
     state = hashlib.sha256()
     blocks = []
     for stop in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
-        part = prompt[stop - BLOCK_CHARACTERS : stop]
-        state.update(part.encode(errors="surrogatepass"))
+        block_text = prompt[stop - BLOCK_CHARACTERS : stop]
+        state.update(block_text.encode(errors="surrogatepass"))
         blocks.append(state.hexdigest()[:BLOCK_DIGITS])
     return blocks
 
@@ -103,7 +105,7 @@
         self.capacity = capacity
         self.event_lag_s = event_lag_s
         self.blocks = collections.OrderedDict()
-        self.events = collections.deque(maxlen=EVENTS_KEPT)
+        self.events = collections.deque(maxlen=MAX_CACHE_EVENTS)
         self.sequence = 0
 
     def count_cached(self, blocks):
@@ -111,15 +113,15 @@
         return len(list(cached))
 
     def store(self, blocks):
-        # Longest prefix first, so that eviction takes the tails before the heads.
+        # Stores the last block first, so that eviction shortens prefixes from the end.
         for block in reversed(blocks):
             if block not in self.blocks:
-                self._note("stored", block)
+                self._record_event("stored", block)
             self.blocks[block] = None
             self.blocks.move_to_end(block)
         while len(self.blocks) > self.capacity:
             block, _ = self.blocks.popitem(last=False)
-            self._note("evicted", block)
+            self._record_event("evicted", block)
 
     def list_events(self, start):
         limit = time.monotonic() - self.event_lag_s
@@ -129,32 +131,43 @@
             if at > limit:
                 break
             following = max(following, event["sequence"] + 1)
-            if event["sequence"] >= start and (event["sequence"] + 1) % DROPPED_EVERY:
+            if (
+                event["sequence"] >= start
+                and (event["sequence"] + 1) % EVENT_DROP_INTERVAL
+            ):
                 events.append(event)
         return events, following
 
-    def _note(self, kind, block):
+    def _record_event(self, kind, block):
         event = {"sequence": self.sequence, "kind": kind, "block": block}
         self.events.append((time.monotonic(), event))
         self.sequence += 1
 
 
 class Engine(server.Server):
-    """A model engine: one step loop gives each running stream a token a step.
+    """A model engine whose steps generate one token for each running stream.
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
-        base_step_ms: Milliseconds of a step with nothing running.
-        slope: Part of the base by which each running stream lengthens a step.
-        max_running: Streams that run at once; others wait first come first served.
-        prefill_us_per_char: Microseconds per prompt character that is not cached.
-        cache_blocks: Blocks of 64 characters that the prefix cache holds.
-        load_lag_s: Age in seconds of the load reports.
+        base_step_ms: Duration in milliseconds of a step with no running stream.
+        slope: Fraction of `base_step_ms` that each running stream adds to a step.
+        max_running: Maximum number of running streams; others are queued (FIFO).
+        prefill_us_per_char: Microseconds of prefill per uncached character.
+        cache_blocks: Capacity of the prefix cache, in blocks of 64 characters.
+        load_lag_s: Lag of the load reports in seconds.
         event_lag_s: Seconds until a cache event can be read.
-        check_fence: Whether orders with an old fence are refused.
+        check_fence: Whether orders with an outdated fencing token are rejected.
         models: Names of the models loaded at the start.
         adapters: Names of the adapters loaded at the start.
         role: Role at the start.
+
+    Attributes:
+        fence: Highest fencing token of the orders executed so far.
+        orders: Orders executed so far.
+        runs: Number of runs by request id.
+        running: Streams that are generating.
+        running_peak: Largest number of streams that ran concurrently.
+        waiting: Queued streams.
     """
 
     def __init__(
@@ -193,9 +206,9 @@
         self.cache = _PrefixCache(cache_blocks, event_lag_s)
         self._exports = collections.OrderedDict()
         self._step_ms = base_step_ms
-        self._load = lag.Lagged(load_lag_s, self.measure_load())
-        self._loop = None
-        self._work = asyncio.Event()
+        self._reported_load = lag.LaggedValue(load_lag_s, self.measure_load())
+        self._step_task = None
+        self._has_streams = asyncio.Event()
 
     def list_routes(self):
         """Return the routes of the engine."""
@@ -210,19 +223,19 @@
         ]
 
     async def start(self):
-        """Listen and begin to step."""
+        """Start listening and start the step loop."""
         await super().start()
-        self._loop = asyncio.create_task(self._run_steps())
+        self._step_task = asyncio.create_task(self._run_steps())
 
     async def close(self):
-        """Stop stepping and listening."""
-        if self._loop is not None:
-            self._loop.cancel()
-            await asyncio.gather(self._loop, return_exceptions=True)
+        """Stop the step loop and stop listening."""
+        if self._step_task is not None:
+            self._step_task.cancel()
+            await asyncio.gather(self._step_task, return_exceptions=True)
         await super().close()
 
     def is_loaded(self, model, adapter):
-        """Return whether a model, and an adapter if any, can run here."""
+        """Return whether a model, and the adapter if one is given, are loaded."""
         if model not in self.loaded["model"]:
             return False
         return not adapter or adapter in self.loaded["adapter"]
@@ -230,11 +243,11 @@
     def submit(self, stream):
         """Queue a stream."""
         self.waiting.append(stream)
-        self._work.set()
+        self._has_streams.set()
         self._record_load()
 
     def cancel(self, request_id):
-        """End the streams of a request as cancelled; return how many there were."""
+        """Cancel the streams of a request and return their number."""
         streams = [*self.running, *self.waiting]
         found = [each for each in streams if each.request_id == request_id]
         for stream in found:
@@ -243,7 +256,7 @@
         return len(found)
 
     def remove(self, stream):
-        """Free the place of a stream, running or waiting."""
+        """Remove a running or queued stream, freeing its slot."""
         stream.ended = True
         if stream in self.running:
             self.running.remove(stream)
@@ -251,28 +264,28 @@
             self.waiting.remove(stream)
         self._record_load()
 
-    def obey(self, order):
-        """Carry out an order; return whether its fence allowed it."""
+    def execute_order(self, order):
+        """Execute an order unless its fencing token is outdated; return whether."""
         fence = order.get("fence", 0)
         if self.check_fence and fence < self.fence:
             return False
-        self._carry_out(order)
+        self._execute(order)
         self.fence = max(self.fence, fence)
         self.orders.append(order)
         self._record_load()
         return True
 
     def export(self, request_id):
-        """Return the cache of a stream as a JSON object, or None."""
+        """Return the cached state of a stream as a JSON object, or None."""
         return self._exports.get(request_id)
 
     def import_cache(self, request_id, state):
-        """Take over the cache of a stream from another engine."""
+        """Import the cached state of a stream from another engine."""
         self.cache.store(state["blocks"])
-        self._keep_export(request_id, state)
+        self._add_export(request_id, state)
 
     def measure_load(self):
-        """Return the load as of now."""
+        """Return the current load."""
         return {
             "running": len(self.running),
             "waiting": len(self.waiting),
@@ -284,13 +297,13 @@
         }
 
     def read_load(self):
-        """Return the load as of some time ago."""
-        return self._load.read()
+        """Return the load as it was reported `load_lag_s` seconds ago."""
+        return self._reported_load.read()
 
     def _record_load(self):
-        self._load.record(self.measure_load())
+        self._reported_load.record(self.measure_load())
 
-    def _carry_out(self, order):
+    def _execute(self, order):
         action = order["action"]
         if action == "role":
             self.role = order["role"]
@@ -299,21 +312,22 @@
         else:
             self.loaded[order["kind"]].pop(order["name"], None)
 
-    def _keep_export(self, request_id, state):
+    def _add_export(self, request_id, state):
         self._exports[request_id] = state
-        while len(self._exports) > EXPORTS_KEPT:
+        while len(self._exports) > MAX_EXPORTS:
             self._exports.popitem(last=False)
 
     async def _run_steps(self):
         deadline = time.monotonic()
         while True:
             if not self.running and not self.waiting:
-                self._work.clear()
+                self._has_streams.clear()
                 self._step_ms = self.base_step_ms
                 self._record_load()
-                await self._work.wait()
+                await self._has_streams.wait()
             duration = self._begin_step()
-            # Time spent on writing counts into the next step, unless far behind.
+            # Time spent writing tokens counts towards the next step, unless the loop
+            # is more than a step behind.
             now = time.monotonic()
             deadline = (deadline if now - deadline < duration else now) + duration
             await asyncio.sleep(max(0.0, deadline - now))
@@ -322,25 +336,25 @@
                     self._emit(stream)
 
     def _begin_step(self):
-        characters = 0
+        uncached_chars = 0
         while self.waiting and len(self.running) < self.max_running:
             stream = self.waiting.popleft()
             self.running.append(stream)
-            characters += self._prefill(stream)
+            uncached_chars += self._prefill(stream)
         self.running_peak = max(self.running_peak, len(self.running))
         self._step_ms = self.base_step_ms * (1 + self.slope * len(self.running))
         self._record_load()
-        return self._step_ms / 1e3 + characters * self.prefill_us_per_char / 1e6
+        return self._step_ms / 1e3 + uncached_chars * self.prefill_us_per_char / 1e6
 
     def _prefill(self, stream):
         blocks = hash_blocks(stream.prompt)
         cached = self.cache.count_cached(blocks) * BLOCK_CHARACTERS
         self.cache.store(blocks)
-        known = self._exports.get(stream.request_id)
+        known_state = self._exports.get(stream.request_id)
         digest = _hash_prompt(stream.prompt)
         state = {"digest": digest, "blocks": blocks}
-        self._keep_export(stream.request_id, state)
-        if known is not None and known.get("digest") == digest:
+        self._add_export(stream.request_id, state)
+        if known_state is not None and known_state.get("digest") == digest:
             return 0
         return len(stream.prompt) - cached + stream.index * TOKEN_CHARACTERS
 
@@ -354,23 +368,23 @@
 
 
 class _GenerateHandler(faults.Handler):
-    """`POST /generate`: one stream of tokens."""
+    """`POST /generate`: streams the tokens of a completion."""
 
     stream = None
-    started = False
-    broken = False
+    response_started = False
+    response_broken = False
 
     async def post(self):
-        body = self.read_object()
+        body = self.read_json_object()
         stream = self._make_stream(body)
-        if POISON_DIE in stream.prompt:
+        if CRASH_MARKER in stream.prompt:
             os._exit(faults.EXIT_STATUS)
-        if POISON_BAD in stream.prompt:
-            raise web.HTTPError(400, "the prompt can't be run")
+        if REJECT_MARKER in stream.prompt:
+            raise web.HTTPError(400, "the prompt is rejected")
         if not self.server.is_loaded(body.get("model"), body.get("adapter")):
             raise web.HTTPError(404, "model or adapter not loaded")
         self.server.runs[stream.request_id] += 1
-        await self.apply_order()
+        await self.apply_fault()
         if self.closed.is_set():
             return
         self.stream = stream
@@ -380,11 +394,11 @@
         await self.ended.wait()
 
     def send(self, text, final):
-        if self.broken or self.closed.is_set():
+        if self.response_broken or self.closed.is_set():
             return
-        if (self.started or final) and self._break_stream():
+        if (self.response_started or final) and self._apply_stream_fault():
             return
-        self.started = True
+        self.response_started = True
         self.write(text)
         if final:
             self.finish()
@@ -398,15 +412,15 @@
             self.server.remove(self.stream)
             self.ended.set()
 
-    def _break_stream(self):
-        order = self.fault_injector.take(self.request.path, faults.BREAKING_KINDS)
-        if order is None:
+    def _apply_stream_fault(self):
+        fault = self.fault_injector.consume(self.request.path, faults.RESPONSE_KINDS)
+        if fault is None:
             return False
-        self.broken = True
-        if not self.started:
+        self.response_broken = True
+        if not self.response_started:
             self.flush()
-        if order.kind == "cut":
-            self.hang_up()
+        if fault.kind == "cut":
+            self.close_connection()
         return True
 
     def _make_stream(self, body):
@@ -420,22 +434,22 @@
                 sink=self,
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise web.HTTPError(400, "a field is missing or wrong") from error
+            raise web.HTTPError(400, "a field is missing or invalid") from error
 
 
 class _CancelHandler(faults.Handler):
-    """`POST /cancel`."""
+    """`POST /cancel`: cancels a request."""
 
     async def post(self):
-        request_id = str(self.read_object().get("request_id"))
-        await self.answer({"cancelled": self.server.cancel(request_id)})
+        request_id = str(self.read_json_object().get("request_id"))
+        await self.respond({"cancelled": self.server.cancel(request_id)})
 
 
 class _LoadHandler(faults.Handler):
     """`GET /load`."""
 
     async def get(self):
-        await self.answer(self.server.read_load())
+        await self.respond(self.server.read_load())
 
 
 class _CacheEventsHandler(faults.Handler):
@@ -445,43 +459,43 @@
         try:
             start = int(self.get_query_argument("from", "0"))
         except ValueError as error:
-            raise web.HTTPError(400, "not a number") from error
+            raise web.HTTPError(400, "from is not a number") from error
         events, following = self.server.cache.list_events(start)
-        await self.answer({"events": events, "next": following})
+        await self.respond({"events": events, "next": following})
 
 
 class _OrdersHandler(faults.Handler):
-    """`/orders`: orders with a fence; reading them is for tests."""
+    """`/orders`: executes an order with `POST`; `GET` lists them, for tests."""
 
     async def post(self):
-        order = self.read_object()
+        order = self.read_json_object()
         try:
-            obeyed = self.server.obey(order)
+            executed = self.server.execute_order(order)
         except (KeyError, TypeError) as error:
-            raise web.HTTPError(400, "not an order") from error
-        status = 200 if obeyed else 409
-        await self.answer({"fence": self.server.fence}, status)
+            raise web.HTTPError(400, "a field of the order is missing") from error
+        status = 200 if executed else 409
+        await self.respond({"fence": self.server.fence}, status)
 
     async def get(self):
-        await self.answer({"orders": self.server.orders})
+        await self.respond({"orders": self.server.orders})
 
 
 class _CacheHandler(faults.Handler):
-    """`/kv/{request_id}`: export and import the cache of a stream."""
+    """`/kv/{request_id}`: exports and imports the cached state of a stream."""
 
     async def get(self, request_id):
         state = self.server.export(request_id)
         if state is None:
-            await self.answer({"error": "unknown"}, status=404)
+            await self.respond({"error": "unknown"}, status=404)
         else:
-            await self.answer(state)
+            await self.respond(state)
 
     async def put(self, request_id):
-        state = self.read_object()
+        state = self.read_json_object()
         if not isinstance(state.get("blocks"), list):
-            raise web.HTTPError(400, "not the cache of a stream")
+            raise web.HTTPError(400, "blocks is not a list")
         self.server.import_cache(request_id, state)
-        await self.answer({"request_id": request_id})
+        await self.respond({"request_id": request_id})
 
 
 class _RunsHandler(faults.Handler):
@@ -489,4 +503,4 @@
 
     async def get(self):
         peak = self.server.running_peak
-        await self.answer({"runs": self.server.runs, "running_peak": peak})
+        await self.respond({"runs": self.server.runs, "running_peak": peak})
--- a/pimentowick/fakes/fault_run.py
+++ b/pimentowick/fakes/fault_run.py
@@ -1,7 +1,8 @@
-"""A run of random faults over the whole path, with a seed.
+"""Randomized fault injection with a seed.
 
-Each round puts one or two faults into an embedded deployment while callers ask, then
-mends them. At the end all that was answered is compared with what ran.
+Each round injects one or two faults into an embedded deployment while clients send
+requests, then repairs them. At the end, the responses are checked against the runs
+that the targets have counted.
 """
 
 import asyncio
@@ -21,9 +22,9 @@
 CHATS = 8
 STREAMS = 4
 CALLS = 4
-RESENDS = 2
-MOST_HITS = 4
-MIDDLE_SHARE = 0.5
+REPEATS = 2
+MAX_AFFECTED_REQUESTS = 4
+MID_REQUEST_PROBABILITY = 0.5
 SETTINGS = {
     "engines": ENGINES,
     "services": SERVICES,
@@ -34,14 +35,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a run did.
+    """Counts of a run.
 
     Attributes:
-        faults: How often each fault was put in.
-        complete: Requests that were answered whole.
-        refused: Refusals by their verdict.
-        unanswered: Requests whose connection broke.
-        items: Items of the job, each completed once.
+        faults: Number of injections by fault.
+        complete: Number of requests with a complete response.
+        refused: Number of error responses by verdict.
+        unanswered: Number of requests that ended with neither.
+        items: Number of items of the job, each completed once.
     """
 
     faults: collections.Counter
@@ -51,28 +52,32 @@
     items: int
 
 
-class _Faults:
-    """Puts faults in and mends them."""
+class _RandomFaults:
+    """Injects random faults into a deployment and repairs them.
+
+    Attributes:
+        injected: Number of injections by fault.
+    """
 
     def __init__(self, fleet, rng):
         self.fleet = fleet
         self.rng = rng
-        self.placed = collections.Counter()
-        self._mends = []
+        self.injected = collections.Counter()
+        self._restarts = []
 
-    async def put_in(self):
-        """Put one or two faults in."""
+    async def inject_random(self):
+        """Inject one or two faults."""
         for fault in self.rng.sample(self._list_faults(), self.rng.choice([1, 2])):
-            self.placed[fault.__name__.strip("_")] += 1
+            self.injected[fault.__name__.strip("_")] += 1
             await fault()
 
-    async def mend(self):
-        """Undo all faults and wait until everything is well."""
-        stand_ins = [self.fleet.log, self.fleet.hosts, *self.fleet.targets.values()]
-        for each in stand_ins:
-            each.fault_injector.inject(faults.Fault("clear"))
-        while self._mends:
-            await self._mends.pop()()
+    async def repair(self):
+        """Remove all faults and wait until the deployment is ready again."""
+        fakes = [self.fleet.log, self.fleet.hosts, *self.fleet.targets.values()]
+        for fake in fakes:
+            fake.fault_injector.inject(faults.Fault("clear"))
+        while self._restarts:
+            await self._restarts.pop()()
         await self.fleet.wait_for(self.fleet.is_ready)
 
     def _list_faults(self):
@@ -90,94 +95,96 @@
             self._entry_crashes,
         ]
 
-    def _place(self, stand_in, kind, **fields):
-        stand_in.fault_injector.inject(faults.Fault(kind, **fields))
+    def _inject(self, fake, kind, **fields):
+        fake.fault_injector.inject(faults.Fault(kind, **fields))
 
-    def _choose_target(self, served):
-        names = [name for name in self.fleet.targets if name.startswith(served)]
+    def _choose_target(self, name_prefix):
+        names = [name for name in self.fleet.targets if name.startswith(name_prefix)]
         return self.fleet.targets[self.rng.choice(sorted(names))]
 
-    def _count_hits(self):
-        return self.rng.randint(1, MOST_HITS)
+    def _draw_count(self):
+        return self.rng.randint(1, MAX_AFFECTED_REQUESTS)
 
     async def _log_down(self):
-        self._place(self.fleet.log, "down")
+        self._inject(self.fleet.log, "down")
 
     async def _log_loses_answers(self):
-        self._place(self.fleet.log, "lose_answer", count=self._count_hits())
+        self._inject(self.fleet.log, "lose_answer", count=self._draw_count())
 
     async def _log_freezes(self):
-        self._place(self.fleet.log, "freeze")
+        self._inject(self.fleet.log, "freeze")
 
     async def _hosts_down(self):
-        self._place(self.fleet.hosts, "down")
+        self._inject(self.fleet.hosts, "down")
 
     async def _engine_stalls(self):
         target = self._choose_target(embedded.MODEL)
-        self._place(target, "stall", count=self._count_hits(), path="/generate")
+        self._inject(target, "stall", count=self._draw_count(), path="/generate")
 
     async def _engine_cuts(self):
         target = self._choose_target(embedded.MODEL)
-        self._place(target, "cut", count=self._count_hits(), path="/generate")
+        self._inject(target, "cut", count=self._draw_count(), path="/generate")
 
     async def _engine_freezes(self):
-        self._place(self._choose_target(embedded.MODEL), "freeze")
+        self._inject(self._choose_target(embedded.MODEL), "freeze")
 
     async def _engine_down(self):
-        self._place(self._choose_target(embedded.MODEL), "down")
+        self._inject(self._choose_target(embedded.MODEL), "down")
 
     async def _service_loses_answers(self):
         target = self._choose_target(embedded.SERVICE)
-        self._place(target, "lose_answer", count=self._count_hits())
+        self._inject(target, "lose_answer", count=self._draw_count())
 
     async def _agent_crashes(self):
         name = self.rng.choice(sorted(self.fleet.agents))
         target = self.fleet.agents[name].settings.target
         await self.fleet.crash(name)
 
-        async def start_again():
+        async def restart():
             await self.fleet.add_agent(name, target.name, target.kind, target.service)
 
-        self._mends.append(start_again)
+        self._restarts.append(restart)
 
     async def _entry_crashes(self):
         name = self.rng.choice(sorted(self.fleet.entries))
         await self.fleet.crash(name)
 
-        async def start_again():
+        async def restart():
             await self.fleet.add_entry(name)
 
-        self._mends.append(start_again)
+        self._restarts.append(restart)
 
 
-async def _send_requests(fleet, callers, rng, number):
+async def _send_requests(fleet, callers, rng, round_number):
     def choose_entry():
         return rng.choice(sorted(fleet.entries))
 
-    async def confirm_often(key):
-        for _ in range(1 + RESENDS):
+    async def confirm_repeatedly(key):
+        for _ in range(1 + REPEATS):
             await callers.confirm(key, entry=choose_entry())
 
-    work = [
-        callers.chat(f"chat {number} {i}", 20, entry=choose_entry())
+    requests = [
+        callers.chat(f"chat {round_number} {i}", 20, entry=choose_entry())
         for i in range(CHATS)
     ]
-    work += [
-        callers.stream(f"stream {number} {i}", 60, choose_entry())
+    requests += [
+        callers.stream(f"stream {round_number} {i}", 60, choose_entry())
         for i in range(STREAMS)
     ]
-    # Two callers use the first key at once.
-    work += [confirm_often(f"key {number} {max(0, i)}") for i in range(-1, CALLS)]
-    work += [callers.confirm(entry=choose_entry())]
-    await asyncio.gather(*work)
+    # Two clients use the first key concurrently.
+    requests += [
+        confirm_repeatedly(f"key {round_number} {max(0, i)}") for i in range(-1, CALLS)
+    ]
+    requests += [callers.confirm(entry=choose_entry())]
+    await asyncio.gather(*requests)
 
 
 async def _check_job(fleet, job_id):
     await fleet.wait_for_job(job_id)
     results = await fleet.read_results(job_id)
     names = [result["custom_id"] for result in results]
-    assert sorted(names) == sorted(set(names)), "An item has two results."
-    assert len(names) == ITEMS, "An item has no result."
+    assert sorted(names) == sorted(set(names)), "an item has more than one result"
+    assert len(names) == ITEMS, "an item has no result"
     for result in results:
         if result["response"] is None:
             continue
@@ -187,10 +194,10 @@
         assert choice["message"]["content"] == expected, result
 
 
-def _make_report(placed, callers):
+def _make_report(injected, callers):
     outcomes = callers.outcomes
     return Report(
-        faults=placed,
+        faults=injected,
         complete=sum(outcome.complete for outcome in outcomes),
         refused=collections.Counter(o.verdict for o in outcomes if o.error),
         unanswered=sum(not o.complete and not o.error for o in outcomes),
@@ -198,33 +205,32 @@
     )
 
 
-async def _run_round(fleet, callers, fault_injector, rng, number):
-    sent = len(callers.outcomes)
-    requests = asyncio.ensure_future(_send_requests(fleet, callers, rng, number))
-    # Half of the rounds meet the faults in the middle of their requests.
-    if rng.random() < MIDDLE_SHARE:
+async def _run_round(fleet, callers, random_faults, rng, round_number):
+    sent_before = len(callers.outcomes)
+    requests = asyncio.ensure_future(_send_requests(fleet, callers, rng, round_number))
+    # In some rounds, the faults occur only once responses have begun.
+    if rng.random() < MID_REQUEST_PROBABILITY:
         await fleet.wait_for(
-            lambda: any(outcome.text for outcome in callers.outcomes[sent:])
+            lambda: any(outcome.text for outcome in callers.outcomes[sent_before:])
         )
-    await fault_injector.put_in()
+    await random_faults.inject_random()
     await requests
-    await fault_injector.mend()
+    await random_faults.repair()
 
 
 async def run_faults(seed, rounds):
-    """Run `rounds` rounds of random faults and check what must always hold.
+    """Run rounds of random faults and check the guarantees of the deployment.
 
     Args:
-        seed: Seed of all choices; the order in which processes get their turns is
-            not under its control.
+        seed: Seed of all random choices; it does not control the scheduling of tasks.
         rounds: Number of rounds.
 
     Returns:
         The `Report`.
 
     Raises:
-        AssertionError: A promise was broken.
-        UnavailableError: The deployment did not become well again.
+        AssertionError: A guarantee was violated.
+        UnavailableError: The deployment did not recover.
     """
     rng = random.Random(seed)
     fleet = embedded.EmbeddedDeployment(**SETTINGS)
@@ -233,11 +239,11 @@
         callers = fake_callers.Callers(fleet)
         lines = embedded.make_job_lines(ITEMS, ITEM_TOKENS)
         job = (await fleet.submit(lines, f"job {seed}")).decode()
-        fault_injector = _Faults(fleet, rng)
-        for number in range(rounds):
-            await _run_round(fleet, callers, fault_injector, rng, number)
+        random_faults = _RandomFaults(fleet, rng)
+        for round_number in range(rounds):
+            await _run_round(fleet, callers, random_faults, rng, round_number)
         await _check_job(fleet, job["id"])
         callers.check()
-        return _make_report(fault_injector.placed, callers)
+        return _make_report(random_faults.injected, callers)
     finally:
         await fleet.close()
--- a/pimentowick/fakes/faults.py
+++ b/pimentowick/fakes/faults.py
@@ -1,4 +1,4 @@
-"""Fault orders that every stand-in obeys."""
+"""Fault injection for the fake servers."""
 
 import asyncio
 import dataclasses
@@ -11,24 +11,31 @@
 
 __all__ = ["KINDS", "Fault", "FaultHandler", "FaultInjector", "Handler"]
 
-OPENING_KINDS = frozenset({"down", "slow", "lose_answer"})
-BREAKING_KINDS = frozenset({"stall", "cut", "trickle"})
-KINDS = OPENING_KINDS | BREAKING_KINDS | {"freeze", "die", "clear"}
+REQUEST_KINDS = frozenset({"down", "slow", "lose_answer"})
+RESPONSE_KINDS = frozenset({"stall", "cut", "trickle"})
+KINDS = REQUEST_KINDS | RESPONSE_KINDS | {"freeze", "die", "clear"}
 EXEMPT_PATHS = frozenset({"/fault", "/runs"})
 EXIT_STATUS = 1
-TRICKLED_PIECES = 8
+TRICKLE_CHUNKS = 8
 
 
 @dataclasses.dataclass
 class Fault:
-    """One fault order.
+    """One fault to inject.
+
+    The kinds are: ``down`` answers 503; ``slow`` delays the response; ``lose_answer``
+    closes the connection after the request has taken effect; ``stall`` stops in the
+    middle of the response; ``cut`` closes the connection there; ``trickle`` sends the
+    response in small chunks; ``freeze`` silences the connections open now; ``die``
+    ends the process; ``clear`` removes all faults.
 
     Attributes:
         kind: One of `KINDS`.
-        seconds: How long each answer is held, for `slow`, or each piece of it, for
-            `trickle`.
-        count: How many requests are still to be hit; None hits until cleared.
-        path: Prefix of the paths that are hit.
+        seconds: Delay in seconds of each response, for ``slow``, or of each of its
+            chunks, for ``trickle``.
+        count: Number of requests left to affect, or of connections for ``freeze``;
+            None for no limit.
+        path: Prefix of the affected paths.
     """
 
     kind: str
@@ -42,135 +49,147 @@
 
 
 class FaultInjector:
-    """The fault orders in force and the open connections of one stand-in."""
+    """The active faults and the open connections of one fake server.
+
+    Attributes:
+        active_faults: Each `Fault` that is active, oldest first.
+        connections: Path of the latest request by open connection.
+        frozen: Connections that a ``freeze`` has silenced.
+    """
 
     def __init__(self):
         self.active_faults = []
         self.connections = weakref.WeakKeyDictionary()
         self.frozen = weakref.WeakSet()
 
-    def inject(self, order, issuer=None):
-        """Put an order into force.
+    def inject(self, fault, source=None):
+        """Activate a fault.
 
         Args:
-            order: The `Fault`.
-            issuer: Connection that the order came on; a freeze spares it.
+            fault: The `Fault`.
+            source: Connection that carried the request for the fault; ``freeze``
+                leaves it usable so that the response can be sent.
         """
-        if order.kind == "die":
+        if fault.kind == "die":
             os._exit(EXIT_STATUS)
-        elif order.kind == "clear":
+        elif fault.kind == "clear":
             self.active_faults.clear()
-        elif order.kind == "freeze":
-            self.freeze(order, issuer)
+        elif fault.kind == "freeze":
+            self.freeze(fault, source)
         else:
-            self.active_faults.append(order)
+            self.active_faults.append(fault)
 
-    def take(self, path, kinds):
-        """Return the first order that hits a request, or None, and count it.
+    def consume(self, path, kinds):
+        """Return the first active fault that affects a request and count it, or None.
 
         Args:
             path: Path of the request.
-            kinds: Kinds of fault asked for.
+            kinds: Kinds of fault to consider.
         """
         if path in EXEMPT_PATHS:
             return None
-        for order in self.active_faults:
-            if order.kind in kinds and path.startswith(order.path):
-                self._spend(order)
-                return order
+        for fault in self.active_faults:
+            if fault.kind in kinds and path.startswith(fault.path):
+                self._decrement(fault)
+                return fault
         return None
 
-    def freeze(self, order, issuer=None):
-        """Make the connections that are open now silent for good."""
+    def freeze(self, fault, source=None):
+        """Silence the connections that are open now, permanently.
+
+        Args:
+            fault: The `Fault`, with the path and the number of the connections.
+            source: Connection to leave usable.
+        """
         chosen = [
             connection
             for connection, path in self.connections.items()
-            if connection is not issuer
+            if connection is not source
             and not connection.closed()
             and connection not in self.frozen
-            and path.startswith(order.path)
+            and path.startswith(fault.path)
         ]
-        for connection in itertools.islice(chosen, order.count):
+        for connection in itertools.islice(chosen, fault.count):
             self.frozen.add(connection)
-            connection.write = _hold_write
+            connection.write = _discard_write
 
-    def _spend(self, order):
-        if order.count is None:
+    def _decrement(self, fault):
+        if fault.count is None:
             return
-        order.count -= 1
-        if order.count <= 0:
-            self.active_faults.remove(order)
+        fault.count -= 1
+        if fault.count <= 0:
+            self.active_faults.remove(fault)
 
 
-def _hold_write(data):
+def _discard_write(data):
     return asyncio.get_running_loop().create_future()
 
 
 class Handler(web.RequestHandler):
-    """Base of all request handlers: applies the fault orders in force."""
+    """Base of all request handlers: applies the active faults."""
 
     def initialize(self, server):
-        """Keep the stand-in that the request is for.
+        """Set the fake server that handles the request.
 
         Args:
             server: The `pimentowick.fakes.server.Server`.
         """
         self.server = server
         self.fault_injector = server.fault_injector
-        self.order = None
+        self.fault = None
         self.closed = asyncio.Event()
 
     async def prepare(self):
-        """Refuse or hold the request if a fault order says so."""
+        """Reject the request or leave it unanswered if a fault says so."""
         self.connection = self.request.connection.stream
         self.fault_injector.connections[self.connection] = self.request.path
         if self.connection in self.fault_injector.frozen:
-            await self.go_silent()
-        self.order = self.fault_injector.take(self.request.path, OPENING_KINDS)
-        if self.order is not None and self.order.kind == "down":
+            await self.wait_for_disconnect()
+        self.fault = self.fault_injector.consume(self.request.path, REQUEST_KINDS)
+        if self.fault is not None and self.fault.kind == "down":
             self.set_status(503)
             self.finish({"error": "down"})
 
     def on_connection_close(self):
-        """Note that the client has gone."""
+        """Record that the client has disconnected."""
         self.closed.set()
 
-    async def go_silent(self):
-        """Answer nothing more; the handler ends when the client goes."""
+    async def wait_for_disconnect(self):
+        """Send nothing more and end the request once the client disconnects."""
         await self.closed.wait()
         raise web.Finish()
 
-    def hang_up(self):
-        """Close the connection without an end of the answer."""
+    def close_connection(self):
+        """Close the connection without completing the response."""
         self.connection.close()
 
-    async def apply_order(self):
-        """Hold the answer or lose it, once the effect has happened."""
-        if self.order is None:
+    async def apply_fault(self):
+        """Delay or drop the response, after the request has taken effect."""
+        if self.fault is None:
             return
-        if self.order.kind == "slow":
-            await asyncio.sleep(self.order.seconds)
-        elif self.order.kind == "lose_answer":
-            self.hang_up()
+        if self.fault.kind == "slow":
+            await asyncio.sleep(self.fault.seconds)
+        elif self.fault.kind == "lose_answer":
+            self.close_connection()
             raise web.Finish()
 
-    async def answer(self, body, status=200):
-        """Answer with JSON, as far as the fault orders allow.
+    async def respond(self, body, status=200):
+        """Send a JSON response, subject to the active faults.
 
         Args:
-            body: A JSON value, or bytes that hold one.
+            body: A JSON value, or the bytes of one.
             status: HTTP status.
         """
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        await self.apply_order()
+        await self.apply_fault()
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
-        order = self.fault_injector.take(self.request.path, BREAKING_KINDS)
-        if order is not None:
-            await self._break_answer(order, data)
+        fault = self.fault_injector.consume(self.request.path, RESPONSE_KINDS)
+        if fault is not None:
+            await self._break_response(fault, data)
         self.finish(data)
 
-    def read_object(self):
+    def read_json_object(self):
         """Return the JSON object in the body, or raise a 400."""
         try:
             value = json.loads(self.request.body)
@@ -181,42 +200,42 @@
         return value
 
     def write_error(self, status_code, **kwargs):
-        """Answer an error as JSON."""
+        """Send an error as JSON."""
         self.finish({"error": self._reason})
 
     def log_exception(self, typ, value, tb):
-        """Log only faults of the stand-in itself, not refusals."""
+        """Log exceptions of the fake itself, but no intended HTTP errors."""
         if not isinstance(value, web.HTTPError):
             super().log_exception(typ, value, tb)
 
-    async def _break_answer(self, order, data):
+    async def _break_response(self, fault, data):
         self.set_header("Content-Length", str(len(data)))
-        if order.kind == "trickle":
-            size = len(data) // TRICKLED_PIECES + 1
+        if fault.kind == "trickle":
+            size = len(data) // TRICKLE_CHUNKS + 1
             for start in range(0, len(data), size):
                 self.write(data[start : start + size])
                 await self.flush()
-                await asyncio.sleep(order.seconds)
+                await asyncio.sleep(fault.seconds)
             raise web.Finish()
         self.write(data[: len(data) // 2])
         await self.flush()
-        if order.kind == "stall":
-            await self.go_silent()
-        self.hang_up()
+        if fault.kind == "stall":
+            await self.wait_for_disconnect()
+        self.close_connection()
         raise web.Finish()
 
 
 class FaultHandler(Handler):
-    """`POST /fault`: put a fault order into force."""
+    """`POST /fault`: inject a fault."""
 
     async def post(self):
-        """Place the order in the body."""
-        body = self.read_object()
+        """Inject the fault described by the body."""
+        body = self.read_json_object()
         names = [field.name for field in dataclasses.fields(Fault)]
         given = {name: body[name] for name in names if body.get(name) is not None}
         try:
-            order = Fault(**given)
+            fault = Fault(**given)
         except (TypeError, ValueError) as error:
-            raise web.HTTPError(400, "not a fault order") from error
-        self.fault_injector.inject(order, issuer=self.connection)
-        await self.answer({"kind": order.kind})
+            raise web.HTTPError(400, "not a fault") from error
+        self.fault_injector.inject(fault, source=self.connection)
+        await self.respond({"kind": fault.kind})
--- a/pimentowick/fakes/lag.py
+++ b/pimentowick/fakes/lag.py
@@ -1,17 +1,17 @@
-"""Values that are seen only after a lag."""
+"""Values that become visible to readers after a delay."""
 
 import collections
 import time
 
-__all__ = ["Lagged"]
+__all__ = ["LaggedValue"]
 
 
-class Lagged:
-    """A value of which readers see the state of some time ago.
+class LaggedValue:
+    """A value that is read with a fixed lag, like an eventually consistent store.
 
     Args:
-        lag_s: Age in seconds of what readers see.
-        value: The value before the first record.
+        lag_s: Seconds until a recorded value is visible to readers.
+        value: Value before the first record.
     """
 
     def __init__(self, lag_s, value):
@@ -19,12 +19,12 @@
         self._versions = collections.deque([(float("-inf"), value)])
 
     def record(self, value):
-        """Set the value as of now."""
+        """Set the current value."""
         self._versions.append((time.monotonic(), value))
         self._drop_old()
 
     def read(self):
-        """Return the value as it was `lag_s` ago."""
+        """Return the value as it was `lag_s` seconds ago."""
         self._drop_old()
         return self._versions[0][1]
 
--- a/pimentowick/fakes/log.py
+++ b/pimentowick/fakes/log.py
@@ -1,4 +1,4 @@
-"""Stand-in of the log."""
+"""Fake of the log service."""
 
 import asyncio
 import contextlib
@@ -17,10 +17,10 @@
 
 
 class RateLimitError(Exception):
-    """The append rate is used up.
+    """The append rate limit is exceeded.
 
     Args:
-        retry_after_s: Seconds until the next append may pass.
+        retry_after_s: Seconds until the next append is admitted.
     """
 
     def __init__(self, retry_after_s):
@@ -36,22 +36,22 @@
 class _Stream:
     first: int = 0
     head: int = 0
-    start: int = 0  # offset of entries[0]; lags behind first between compactions
+    start: int = 0  # offset of entries[0]; below `first` until the next compaction
     entries: list = dataclasses.field(default_factory=list)
-    grown: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    appended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def append(self, texts):
         now = time.monotonic()
         self.entries.extend((now, text) for text in texts)
         self.head += len(texts)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
     def drop_before(self, offset):
         self.first = max(self.first, min(offset, self.head))
-        dead = self.first - self.start
-        if dead * 2 > len(self.entries):
-            del self.entries[:dead]
+        dropped = self.first - self.start
+        if dropped * 2 > len(self.entries):
+            del self.entries[:dropped]
             self.start = self.first
 
     def drop_older(self, limit):
@@ -68,14 +68,14 @@
 
 
 class Log(server.Server):
-    """In-memory streams of records with retention and an append rate.
+    """In-memory streams of records with a retention time and a rate limit.
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
-        retention_s: Seconds that a record is kept.
-        appends_per_s: Appends per second, all streams together; one second's worth
-            may come at once. None sets no limit.
-        max_record_bytes: Greatest size of one record as JSON.
+        retention_s: Seconds that a record is retained.
+        appends_per_s: Rate limit of appends over all streams, with a burst of one
+            second; None for no limit.
+        max_record_bytes: Maximum size of a record as JSON.
     """
 
     def __init__(
@@ -91,8 +91,8 @@
         self.appends_per_s = appends_per_s
         self.max_record_bytes = max_record_bytes
         self._streams = {}
-        self._tokens = self._capacity()
-        self._filled_at = time.monotonic()
+        self._tokens = self._get_burst_size()
+        self._refilled_at = time.monotonic()
 
     def list_routes(self):
         """Return the routes of the log."""
@@ -102,75 +102,75 @@
         ]
 
     def append(self, stream, records):
-        """Append records whole or not at all; return the first and next offset."""
+        """Append records atomically; return their first offset and the next one."""
         texts = [json.dumps(record) for record in records]
         if any(len(text) > self.max_record_bytes for text in texts):
             raise RecordTooLargeError(f"a record is over {self.max_record_bytes} bytes")
-        self._spend_token()
-        kept = self._open(stream)
-        first = kept.head
-        kept.append(texts)
-        return first, kept.head
+        self._consume_token()
+        state = self._get_stream(stream)
+        first = state.head
+        state.append(texts)
+        return first, state.head
 
     def read(self, stream, offset, limit=DEFAULT_READ_LIMIT):
-        """Return pairs of offset and record as JSON text, from an offset on."""
-        return self._open(stream).read(offset, limit)
+        """Return pairs of offset and JSON text, from an offset on."""
+        return self._get_stream(stream).read(offset, limit)
 
     def get_offsets(self, stream):
-        """Return the oldest offset kept and the offset of the next append."""
-        kept = self._open(stream)
-        return kept.first, kept.head
+        """Return the offset of the oldest record and that of the next append."""
+        state = self._get_stream(stream)
+        return state.first, state.head
 
     async def wait(self, stream, offset, timeout_s):
-        """Wait until there is a record at an offset, `timeout_s` at most."""
-        kept = self._open(stream)
+        """Wait until a record exists at an offset, for at most `timeout_s` seconds."""
+        state = self._get_stream(stream)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                while kept.head <= offset:
-                    await kept.grown.wait()
+                while state.head <= offset:
+                    await state.appended.wait()
 
     def truncate(self, stream, before):
-        """Drop the records below an offset."""
-        self._open(stream).drop_before(before)
+        """Delete the records before an offset."""
+        self._get_stream(stream).drop_before(before)
 
-    def _open(self, stream):
-        kept = self._streams.get(stream)
-        if kept is None:
-            kept = self._streams[stream] = _Stream()
-        kept.drop_older(time.monotonic() - self.retention_s)
-        return kept
+    def _get_stream(self, stream):
+        state = self._streams.get(stream)
+        if state is None:
+            state = self._streams[stream] = _Stream()
+        state.drop_older(time.monotonic() - self.retention_s)
+        return state
 
-    def _capacity(self):
+    def _get_burst_size(self):
         return max(1.0, self.appends_per_s or 0.0)
 
-    def _spend_token(self):
+    def _consume_token(self):
         if self.appends_per_s is None:
             return
         now = time.monotonic()
-        gained = (now - self._filled_at) * self.appends_per_s
-        self._tokens = min(self._capacity(), self._tokens + gained)
-        self._filled_at = now
+        gained = (now - self._refilled_at) * self.appends_per_s
+        self._tokens = min(self._get_burst_size(), self._tokens + gained)
+        self._refilled_at = now
         if self._tokens < 1.0:
             raise RateLimitError((1.0 - self._tokens) / self.appends_per_s)
         self._tokens -= 1.0
 
 
 class _RecordsHandler(faults.Handler):
-    """`/streams/{stream}/records`: append and read."""
+    """`/streams/{stream}/records`: append with `POST`, read with `GET`."""
 
     async def post(self, stream):
-        records = self.read_object().get("records")
+        records = self.read_json_object().get("records")
         if not isinstance(records, list):
-            raise web.HTTPError(400, "no list of records")
+            raise web.HTTPError(400, "records is not a list")
         try:
             first, following = self.server.append(stream, records)
         except RecordTooLargeError as error:
-            await self.answer({"error": str(error)}, status=413)
+            await self.respond({"error": str(error)}, status=413)
         except RateLimitError as error:
             self.set_header("Retry-After", str(math.ceil(error.retry_after_s)))
-            await self.answer({"error": str(error)}, status=429)
+            await self.respond({"error": str(error)}, status=429)
         else:
-            await self.answer({"first": first, "next": following})
+            await self.respond({"first": first, "next": following})
 
     async def get(self, stream):
         try:
@@ -178,24 +178,24 @@
             limit = int(self.get_query_argument("limit", str(DEFAULT_READ_LIMIT)))
             wait_s = float(self.get_query_argument("wait", "0"))
         except ValueError as error:
-            raise web.HTTPError(400, "not a number") from error
+            raise web.HTTPError(400, "from, limit or wait is not a number") from error
         if wait_s > 0:
             await self.server.wait(stream, offset, wait_s)
         items = self.server.read(stream, offset, limit)
         first, head = self.server.get_offsets(stream)
-        # Records are kept as JSON text, so that a read encodes nothing again.
+        # Records are stored as JSON text so that reads need no encoding.
         texts = [f'{{"offset": {at}, "record": {text}}}' for at, text in items]
         body = f'{{"records": [{", ".join(texts)}], "first": {first}, "head": {head}}}'
-        await self.answer(body.encode())
+        await self.respond(body.encode())
 
 
 class _TruncateHandler(faults.Handler):
-    """`POST /streams/{stream}/truncate`: drop old records, for tests."""
+    """`POST /streams/{stream}/truncate`: delete old records, for tests."""
 
     async def post(self, stream):
-        before = self.read_object().get("before")
+        before = self.read_json_object().get("before")
         if not isinstance(before, int):
-            raise web.HTTPError(400, "no offset")
+            raise web.HTTPError(400, "before is not an offset")
         self.server.truncate(stream, before)
         first, head = self.server.get_offsets(stream)
-        await self.answer({"first": first, "head": head})
+        await self.respond({"first": first, "head": head})
--- a/pimentowick/fakes/platform_site.py
+++ b/pimentowick/fakes/platform_site.py
@@ -1,4 +1,7 @@
-"""The users' platform in this process: store, replicas and entries, for tests."""
+"""A deployment on the users' platform within one process, for tests.
+
+It consists of a fake store, fake replicas and real entries.
+"""
 
 import contextlib
 import dataclasses
@@ -18,37 +21,37 @@
 WAIT_S = 15.0
 POLL_S = 0.01
 LOOPBACK = "127.0.0.1"
-# Below the range from which Linux gives connections theirs (from 32,768 by default),
-# one block for each process that runs tests side by side.
-FIRST_PORT = 12_000
-BLOCK_PORTS = 100
+# Below the range of ephemeral ports of Linux (from 32,768 by default). Test processes
+# that run in parallel use different blocks.
+MIN_PORT = 12_000
+PORTS_PER_BLOCK = 100
 PORT_BLOCKS = 200
 
 
-def _count_ports():
-    """Yield the ports of this process's block, again and again."""
-    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * BLOCK_PORTS
+def _cycle_ports():
+    """Cycle through the ports of this process's block."""
+    first = MIN_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK
     while True:
-        yield from range(first, first + BLOCK_PORTS)
+        yield from range(first, first + PORTS_PER_BLOCK)
 
 
-_ports = _count_ports()
+_ports = _cycle_ports()
 
 
 def find_free_port(kind=socket.SOCK_STREAM):
-    """Return a port that is free, and that no connection is given meanwhile."""
-    for port in itertools.islice(_ports, BLOCK_PORTS):
+    """Return a free port that the kernel does not assign to outgoing connections."""
+    for port in itertools.islice(_ports, PORTS_PER_BLOCK):
         with socket.socket(socket.AF_INET, kind) as sock:
-            # As servers do: a connection that has ended does not keep a port.
+            # Servers set it, too: a connection in TIME_WAIT does not block the port.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             with contextlib.suppress(OSError):
                 sock.bind((LOOPBACK, port))
                 return port
-    raise OSError(f"No free port of {BLOCK_PORTS}.")
+    raise OSError(f"none of the {PORTS_PER_BLOCK} ports of this process is free")
 
 
 def make_route(prefix, kind, **changes):
-    """Return a route as the operator writes it."""
+    """Return a route in the form of the operator's configuration."""
     return {
         "name": prefix.strip("/"),
         "host": HOST,
@@ -64,7 +67,12 @@
 
 
 def make_settings(store_address, **changes):
-    """Return settings of an entry on this machine."""
+    """Return the settings of an entry on loopback.
+
+    Args:
+        store_address: ``IP:port`` of the store.
+        changes: Fields of `node.NodeSettings` that differ.
+    """
     port = find_free_port(socket.SOCK_DGRAM)
     settings = node.NodeSettings(
         name="entry",
@@ -86,15 +94,18 @@
 
 
 class Site:
-    """A store, replicas and entries.
+    """A deployment of a store, replicas and entries.
 
     Args:
         replicas: The `replica.Replica` objects.
-        routes: Routes as the operator writes them.
+        routes: Routes in the form of the operator's configuration.
         entries: Number of entries.
-        tenants: Workspaces as the operator writes them; none by default, so that
-            callers need no keys.
-        changes: Further fields of the entries' `node.NodeSettings`.
+        tenants: Workspaces in the same form; None by default, so that callers need no
+            keys.
+        changes: Fields of the entries' `node.NodeSettings` that differ.
+
+    Attributes:
+        gateways: The running entries.
     """
 
     def __init__(self, replicas, routes, entries=1, tenants=None, **changes):
@@ -112,15 +123,15 @@
         """Start everything and wait until the entries are ready."""
         await self.client.start()
         await self.store.start()
-        for each in self.replicas:
-            await each.start()
-            self.register_replica(each)
+        for server in self.replicas:
+            await server.start()
+            self.register_replica(server)
         self.publish(self.routes)
         for _ in range(self._entries):
             await self.start_entry()
 
     async def start_entry(self, settings=None):
-        """Start one more entry, by default one with addresses of its own."""
+        """Start another entry, by default with new addresses, and wait until ready."""
         settings = settings or make_settings(self.store.address, **self._changes)
         gateway = daemon.Gateway(settings, metrics_port=find_free_port())
         await gateway.start()
@@ -132,7 +143,7 @@
         return gateway.is_ready and len(gateway.table.by_id) >= len(self.replicas)
 
     def publish(self, routes):
-        """Write the next version of the configuration."""
+        """Publish routes as the next version of the configuration."""
         self._version += 1
         self.routes = routes
         services = [{"name": SERVICE, "max_conns": 100}]
@@ -141,14 +152,14 @@
             data["tenants"] = self.tenants
         self.store.put("keyed.op", "config", data)
 
-    def register_replica(self, each, **changes):
-        """Write the entry of a replica."""
+    def register_replica(self, server, **changes):
+        """Write the registration of a replica to the store."""
         self.store.put(
-            "keyed.servers", each.id, each.make_registration(SERVICE, **changes)
+            "keyed.servers", server.id, server.make_registration(SERVICE, **changes)
         )
 
     async def call(self, method, path, body=None, entry=0, **headers):
-        """Send a request to an entry; header names have underscores for dashes."""
+        """Send a request to an entry; underscores in header names become dashes."""
         names = {name.replace("_", "-"): value for name, value in headers.items()}
         return await self.client.fetch(
             method,
@@ -163,22 +174,26 @@
         """Stop everything."""
         for gateway in self.gateways:
             await gateway.close()
-        for each in self.replicas:
-            await each.close()
+        for server in self.replicas:
+            await server.close()
         await self.store.close()
         await self.client.close()
 
 
 @contextlib.asynccontextmanager
 async def open_site(replicas=None, routes=None, entries=1, tenants=None, **changes):
-    """Yield a started `Site`.
+    """Run a `Site` for the duration of the context.
 
     Args:
         replicas: The `replica.Replica` objects; one by default.
-        routes: Routes as the operator writes them; one stream by default.
+        routes: Routes in the form of the operator's configuration; one resumable
+            stream by default.
         entries: Number of entries.
-        tenants: Workspaces as the operator writes them.
-        changes: Further fields of the entries' settings.
+        tenants: Workspaces in the same form.
+        changes: Fields of the entries' `node.NodeSettings` that differ.
+
+    Yields:
+        The `Site`.
     """
     routes = routes or [make_route("/chat/", "stream", resumable=True)]
     replicas = replicas or [replica.Replica()]
--- a/pimentowick/fakes/platform_store.py
+++ b/pimentowick/fakes/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' platform's store: a log with keyed topics and groups."""
+"""Fake of the store of the users' platform: a log with keyed topics and groups."""
 
 import asyncio
 import base64
@@ -11,15 +11,15 @@
 
 __all__ = ["PlatformStore"]
 
-LENGTH = struct.Struct(">I")
-HEAD = struct.Struct(">QQ")
+LENGTH_PREFIX = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
 PAGE_ITEMS = 500
 MAX_STORED_BYTES = 400_000_000
-KEPT_APPENDS = 5
+MAX_PRODUCER_APPENDS = 5
 
 
 class _Partition:
-    """Records from `first` on, and the newest one of each key."""
+    """The records of a partition from `first` on, and the newest one of each key."""
 
     def __init__(self, keyed):
         self.keyed = keyed
@@ -36,13 +36,13 @@
     def append(self, contents):
         first = self.end
         for content in contents:
-            self._note_newest(content)
+            self._update_newest(content)
             self.records.append(content)
         self.changed.set()
         self.changed = asyncio.Event()
         return first
 
-    def _note_newest(self, content):
+    def _update_newest(self, content):
         if not self.keyed:
             return
         size = 1 + content[0]
@@ -62,13 +62,15 @@
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
-        parts: Partitions of a topic.
+        parts: Number of partitions of a topic.
 
     Attributes:
-        append_delay_s: If set, appends get no answer and take effect this many seconds
-            later, if their condition still holds.
-        capacity_bytes: Bytes of records from which on appends get 507.
+        append_delay_s: If set, appends get no response and are processed this many
+            seconds later; their conditions are checked at that time.
+        capacity_bytes: Total size of all records from which on appends get 507.
         calls: Number of calls by path.
+        partitions: Partitions by topic and number.
+        groups: Consumer groups by name.
     """
 
     def __init__(self, port=0, parts=8):
@@ -94,30 +96,32 @@
         ]
 
     def get_partition(self, topic, part):
-        """Return a partition; a topic is made on first use."""
+        """Return a partition, created on first use."""
         key = (topic, int(part))
         if key not in self.partitions:
             self.partitions[key] = _Partition(topic.startswith("keyed."))
         return self.partitions[key]
 
     def put(self, topic, key, value, part=0):
-        """Write a keyed record as the operator or a target does."""
+        """Append a keyed record, as the operator or a target does."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         content = bytes([len(key)]) + key.encode() + data
         return self.get_partition(topic, part).append([content])
 
     def count_bytes(self):
-        """Return the bytes of all records."""
+        """Return the total size of all records in bytes."""
         return sum(len(r) for p in self.partitions.values() for r in p.records)
 
     def get_group(self, name):
-        """Return a group, without members whose lease has ended."""
+        """Return a consumer group without the members whose lease has expired."""
         group = self.groups.setdefault(name, _Group(self.parts))
-        group.drop_lapsed()
+        group.expire_members()
         return group
 
 
 class _Group:
+    """A consumer group; its members hold leases and share the partitions evenly."""
+
     def __init__(self, parts):
         self.parts = parts
         self.generation = 0
@@ -125,16 +129,18 @@
         self.topics = set()
         self.offsets = {}
 
-    def drop_lapsed(self):
+    def expire_members(self):
         now = time.monotonic()
-        lapsed = [name for name, ends_at in self.members.items() if ends_at < now]
-        for name in lapsed:
+        expired = [
+            name for name, expires_at in self.members.items() if expires_at < now
+        ]
+        for name in expired:
             del self.members[name]
-        if lapsed:
+        if expired:
             self.generation += 1
 
-    def list_rows(self):
-        """Return rows of topic, partition, member and offset."""
+    def list_assignments(self):
+        """Return a row of topic, partition, member and offset for each partition."""
         names = sorted(self.members)
         rows = []
         for topic in sorted(self.topics):
@@ -159,71 +165,71 @@
     async def post(self):
         topic = self.get_query_argument("topic")
         if topic in ("keyed.op", "keyed.servers"):
-            await self.answer({"error": "forbidden"}, 403)
+            await self.respond({"error": "forbidden"}, 403)
             return
         if self.server.append_delay_s is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(self.server.append_delay_s, self._append)
-            await self.go_silent()
+            await self.wait_for_disconnect()
         status, body = self._append()
-        await self.answer(body, status)
+        await self.respond(body, status)
 
     def _append(self):
         partition = self.find_partition()
-        contents = list(_split(self.request.body))
+        contents = list(_split_records(self.request.body))
         if self.server.count_bytes() >= self.server.capacity_bytes:
             return 507, {"error": "full"}
-        fenced = self._check_producer(partition)
-        if fenced is not None:
-            return fenced
+        rejection = self._check_producer(partition)
+        if rejection is not None:
+            return rejection
         at = self.get_query_argument("at", None)
         if at is not None and int(at) != partition.end:
             return 412, {"end": partition.end}
         first = partition.append(contents)
-        answer = (200, {"offset": first, "end": partition.end})
-        self._note_producer(partition, answer)
-        return answer
+        response = (200, {"offset": first, "end": partition.end})
+        self._record_append(partition, response)
+        return response
 
-    def _read_producer(self):
+    def _get_producer(self):
         name = self.get_query_argument("producer", None)
         epoch = int(self.get_query_argument("epoch", "0"))
         return name, epoch, int(self.get_query_argument("sequence", "0"))
 
     def _check_producer(self, partition):
-        name, epoch, sequence = self._read_producer()
+        name, epoch, sequence = self._get_producer()
         if name is None or name not in partition.producers:
             return None
-        known_epoch, answers = partition.producers[name]
+        known_epoch, responses = partition.producers[name]
         if epoch < known_epoch:
             return 409, {"why": "fenced"}
-        if epoch > known_epoch or not answers:
+        if epoch > known_epoch or not responses:
             return None
-        if sequence in answers:
-            return answers[sequence]
-        wanted = max(answers) + 1
-        if sequence != wanted:
-            return 409, {"why": "seq", "sequence": wanted}
+        if sequence in responses:
+            return responses[sequence]
+        expected = max(responses) + 1
+        if sequence != expected:
+            return 409, {"why": "seq", "sequence": expected}
         return None
 
-    def _note_producer(self, partition, answer):
-        name, epoch, sequence = self._read_producer()
+    def _record_append(self, partition, response):
+        name, epoch, sequence = self._get_producer()
         if name is None:
             return
-        known_epoch, answers = partition.producers.get(name, (epoch, {}))
+        known_epoch, responses = partition.producers.get(name, (epoch, {}))
         if epoch > known_epoch:
-            answers = {}
+            responses = {}
         if self.request.body:
-            answers[sequence] = answer
-        for old in sorted(answers)[:-KEPT_APPENDS]:
-            del answers[old]
-        partition.producers[name] = (epoch, answers)
+            responses[sequence] = response
+        for old in sorted(responses)[:-MAX_PRODUCER_APPENDS]:
+            del responses[old]
+        partition.producers[name] = (epoch, responses)
 
 
-def _split(body):
+def _split_records(body):
     at = 0
     while at < len(body):
-        (size,) = LENGTH.unpack_from(body, at)
-        at += LENGTH.size
+        (size,) = LENGTH_PREFIX.unpack_from(body, at)
+        at += LENGTH_PREFIX.size
         yield body[at : at + size]
         at += size
 
@@ -233,22 +239,22 @@
         partition = self.find_partition()
         start = int(self.get_query_argument("from"))
         if start < partition.first:
-            await self.answer({"first": partition.first}, 410)
+            await self.respond({"first": partition.first}, 410)
             return
-        ends_at = time.monotonic() + self._read_wait()
-        while start >= partition.end and time.monotonic() < ends_at:
+        deadline = time.monotonic() + self._get_wait_s()
+        while start >= partition.end and time.monotonic() < deadline:
             try:
-                async with asyncio.timeout(ends_at - time.monotonic()):
+                async with asyncio.timeout(deadline - time.monotonic()):
                     await partition.changed.wait()
             except TimeoutError:
                 break
         contents = partition.records[start - partition.first :]
-        body = HEAD.pack(partition.end, partition.first)
+        body = READ_HEADER.pack(partition.end, partition.first)
         for content in contents:
-            body += LENGTH.pack(len(content)) + content
-        await self.answer(body)
+            body += LENGTH_PREFIX.pack(len(content)) + content
+        await self.respond(body)
 
-    def _read_wait(self):
+    def _get_wait_s(self):
         return int(self.get_query_argument("wait_ms", "0")) / 1000
 
 
@@ -265,7 +271,7 @@
             }
             for key in keys[:PAGE_ITEMS]
         ]
-        await self.answer(
+        await self.respond(
             {
                 "items": items,
                 "has_more": len(keys) > PAGE_ITEMS,
@@ -277,7 +283,7 @@
 class _TrimHandler(_Handler):
     async def post(self):
         self.find_partition().trim(int(self.get_query_argument("before")))
-        await self.answer({})
+        await self.respond({})
 
 
 class _GroupHandler(_Handler):
@@ -287,7 +293,7 @@
 
 class _JoinHandler(_GroupHandler):
     async def post(self):
-        body = self.read_object()
+        body = self.read_json_object()
         group = self.find_group(body)
         member = body["member"]
         if member not in group.members or not group.topics >= set(body["topics"]):
@@ -295,34 +301,36 @@
         group.topics |= set(body["topics"])
         group.members[member] = time.monotonic() + body["ttl_ms"] / 1000
         rows = [
-            [t, p, offset] for t, p, name, offset in group.list_rows() if name == member
+            [t, p, offset]
+            for t, p, name, offset in group.list_assignments()
+            if name == member
         ]
-        await self.answer({"generation": group.generation, "parts": rows})
+        await self.respond({"generation": group.generation, "parts": rows})
 
 
 class _LeaveHandler(_GroupHandler):
     async def post(self):
-        body = self.read_object()
+        body = self.read_json_object()
         group = self.find_group(body)
         if group.members.pop(body["member"], None) is not None:
             group.generation += 1
-        await self.answer({})
+        await self.respond({})
 
 
 class _CommitHandler(_GroupHandler):
     async def post(self):
-        body = self.read_object()
+        body = self.read_json_object()
         group = self.find_group(body)
         key = (body["topic"], body["part"])
-        held = [row for row in group.list_rows() if (row[0], row[1]) == key]
+        held = [row for row in group.list_assignments() if (row[0], row[1]) == key]
         if not held or held[0][2] != body["member"]:
-            await self.answer({"error": "not the holder"}, 409)
+            await self.respond({"error": "not the holder"}, 409)
             return
         group.offsets[key] = body["offset"]
-        await self.answer({})
+        await self.respond({})
 
 
 class _OwnersHandler(_GroupHandler):
     async def get(self):
         group = self.server.get_group(self.get_query_argument("group"))
-        await self.answer({"parts": group.list_rows()})
+        await self.respond({"parts": group.list_assignments()})
--- a/pimentowick/fakes/relay.py
+++ b/pimentowick/fakes/relay.py
@@ -1,6 +1,6 @@
-"""Stand-in of the network between two processes.
+"""Fake of the network between two processes.
 
-Its connections fall silent, or bytes stay on their way for a while.
+It can silence connections or delay the bytes sent over them.
 """
 
 import asyncio
@@ -8,34 +8,34 @@
 
 __all__ = ["Relay", "insert_relays"]
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 
 class Relay:
-    """Passes TCP connections on to one address.
+    """A TCP proxy to one address that injects network faults.
 
     Args:
-        target: ``IP:port`` to pass connections on to.
+        target: ``IP:port`` to forward connections to.
 
     Attributes:
         address: ``IP:port`` that it listens on, once started.
-        opened: Number of connections taken.
-        held_chunks: Pieces on their way to the target that `hold` keeps back.
+        connection_count: Number of connections accepted.
+        held_chunks: Chunks sent to the target that `hold` has delayed.
     """
 
     def __init__(self, target):
         self.target = target
         self.address = None
-        self.opened = 0
+        self.connection_count = 0
         self.held_chunks = []
-        self._passing = set()
-        # Events on which each connection passes bytes on to the target.
+        self._forwarding_tasks = set()
+        # One event per connection; set while bytes are forwarded to the target.
         self._gates = set()
         self._writers = set()
         self._server = None
 
     async def start(self):
-        """Listen."""
+        """Start listening and set `address`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
@@ -48,66 +48,68 @@
             writer.close()
 
     def freeze(self):
-        """Pass nothing on any more over the connections that are open now.
+        """Stop forwarding on the connections that are open now.
 
-        They stay open, and neither end is told.
+        They stay open, so neither end notices.
         """
-        for task in list(self._passing):
+        for task in list(self._forwarding_tasks):
             task.cancel()
 
     def hold(self):
-        """Keep back what is sent to the target over the connections open now.
+        """Delay the bytes sent to the target over the connections that are open now.
 
-        The other way stays open, and so do these connections: their ends reach the
-        target no more, as if the packets that tell of it were lost.
+        The opposite direction is unaffected. Once bytes have been delayed, the target
+        never learns that the client has closed the connection, as if its FIN were lost.
         """
         for gate in self._gates:
             gate.clear()
 
     def release(self):
-        """Pass on what was kept back."""
+        """Forward the delayed bytes."""
         for gate in self._gates:
             gate.set()
 
     async def _serve(self, reader, writer):
-        self.opened += 1
+        self.connection_count += 1
         host, _, port = self.target.rpartition(":")
         self._writers.add(writer)
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.close()
             return
-        self._writers.add(far_writer)
-        for passing in (
-            self._pass_held(reader, far_writer),
-            self._pass(far_reader, writer),
+        self._writers.add(target_writer)
+        for forwarding in (
+            self._forward_gated(reader, target_writer),
+            self._forward(target_reader, writer),
         ):
-            task = asyncio.create_task(passing)
-            self._passing.add(task)
-            task.add_done_callback(self._passing.discard)
+            task = asyncio.create_task(forwarding)
+            self._forwarding_tasks.add(task)
+            task.add_done_callback(self._forwarding_tasks.discard)
 
-    async def _pass(self, source, sink):
-        # A cancelled task leaves its socket open: that is the silence.
+    async def _forward(self, source, sink):
+        # A cancelled task leaves its sockets open, so that the connection is silent.
         with contextlib.suppress(ConnectionError):
-            while piece := await source.read(PIECE_BYTES):
-                sink.write(piece)
+            while chunk := await source.read(CHUNK_BYTES):
+                sink.write(chunk)
                 await sink.drain()
         sink.close()
         self._writers.discard(sink)
 
-    async def _pass_held(self, source, sink):
+    async def _forward_gated(self, source, sink):
         gate = asyncio.Event()
         gate.set()
         self._gates.add(gate)
         was_held = False
         with contextlib.suppress(ConnectionError):
-            while piece := await source.read(PIECE_BYTES):
+            while chunk := await source.read(CHUNK_BYTES):
                 if not gate.is_set():
                     was_held = True
-                    self.held_chunks.append(piece)
+                    self.held_chunks.append(chunk)
                     await gate.wait()
-                sink.write(piece)
+                sink.write(chunk)
                 await sink.drain()
         self._gates.discard(gate)
         if was_held:
@@ -118,11 +120,14 @@
 
 @contextlib.asynccontextmanager
 async def insert_relays(fleet, role):
-    """Put a relay before each agent or entry, and tell the host list of it.
+    """Put a relay before each agent or entry and register its address as the host's.
 
     Args:
         fleet: `pimentowick.fakes.embedded.EmbeddedDeployment`.
         role: ``agent`` or ``entry``.
+
+    Yields:
+        The `Relay` objects.
     """
     group = fleet.agents if role == "agent" else fleet.entries
     relays = []
@@ -133,10 +138,10 @@
         await fleet.register_host(name, role, each.address)
     entries = list(fleet.entries.values())
     if role == "agent":
-        wanted = {each.address for each in relays}
+        addresses = {each.address for each in relays}
         await fleet.wait_for(
             lambda: all(
-                {peer.address for peer in entry.fleet.peers.values()} == wanted
+                {peer.address for peer in entry.fleet.peers.values()} == addresses
                 for entry in entries
             )
         )
--- a/pimentowick/fakes/replica.py
+++ b/pimentowick/fakes/replica.py
@@ -1,4 +1,4 @@
-"""Stand-in of a replica on the users' platform: event streams and plain answers."""
+"""Fake of a replica on the users' platform, with event streams and plain responses."""
 
 import asyncio
 import collections
@@ -8,21 +8,23 @@
 
 __all__ = ["Behaviour", "Replica"]
 
-PREFIX = "X-Pimentowick-"
+HEADER_PREFIX = "X-Pimentowick-"
 
 
 @dataclasses.dataclass
 class Behaviour:
-    """How one request is answered.
+    """How the replica handles one request.
 
     Attributes:
-        kind: ``answer``, ``refuse`` (did not run), ``fail`` (500), ``impossible``
-            (422), ``vanish`` (runs, no answer), ``extra`` (a second answer),
-            ``unsigned``, ``crossed`` (an answer to another request first),
-            ``wrong_order`` (an event is missing) or ``silent`` (nothing more).
-        cut_after: Number of events or bytes after which the answer breaks off.
-        partial_event: Whether it breaks off in the middle of an event.
-        awaits_release: Whether it does so only once `Replica.release` is set.
+        kind: ``answer`` responds normally; ``refuse`` rejects the request as not run;
+            ``fail`` responds 500 and ``impossible`` 422; ``vanish`` runs the request
+            and closes the connection without a response; ``extra`` sends a second,
+            unsolicited response; ``unsigned`` omits the replica's identifier;
+            ``crossed`` first sends a response to another request; ``wrong_order``
+            leaves out an event; ``silent`` sends nothing and keeps the connection.
+        cut_after: Number of events or bytes after which the response is truncated.
+        partial_event: Whether it is truncated in the middle of an event.
+        awaits_release: Whether it is truncated only once `Replica.release` is set.
     """
 
     kind: str = "answer"
@@ -32,24 +34,24 @@
 
 
 class Replica(server.Server):
-    """A replica.
+    """A replica that handles each request as planned by the test.
 
     Args:
-        replica_id: Identifier, checked against what a request expects.
-        events: Number of events of a stream; 0 answers plainly.
+        replica_id: Identifier; a request that names another one is rejected with 421.
+        events: Number of events of a stream; 0 responds without a stream.
         event_interval_s: Pause before each event, in seconds.
-        slots: Requests that run at once; others wait.
+        slots: Number of slots that the replica registers.
 
     Attributes:
         planned_behaviours: `Behaviour` of each of the next requests; later ones are
             answered normally.
         runs: Number of runs by request identifier.
         headers: Headers of the requests that ran, in order.
-        request_uris: Their paths and queries.
-        running: Requests that run now.
-        peak_running: Most that ran at once.
+        request_uris: Path and query of the requests that ran, in order.
+        running: Number of requests running now.
+        peak_running: Largest number of requests that ran concurrently.
         holds_last_event: Whether streams wait for `release` before their last event.
-        release: Set by a test to let held answers go on, or break off.
+        release: Event that a test sets to continue held responses.
     """
 
     def __init__(self, replica_id="i-1", events=3, event_interval_s=0.0, slots=8):
@@ -72,7 +74,7 @@
         return [("/.*", _Handler)]
 
     def make_registration(self, service, **changes):
-        """Return the entry that the replica writes about itself."""
+        """Return the record with which the replica registers itself."""
         return {
             "service": service,
             "address": self.address,
@@ -86,7 +88,9 @@
 class _Handler(faults.Handler):
     async def post(self):
         replica = self.server
-        expected = self.request.headers.get(PREFIX + "Expect-Instance", replica.id)
+        expected = self.request.headers.get(
+            HEADER_PREFIX + "Expect-Instance", replica.id
+        )
         if expected != replica.id:
             self.set_status(421)
             return
@@ -97,9 +101,9 @@
         )
         if behaviour.kind == "refuse":
             self.set_status(503)
-            self.set_header(PREFIX + "Not-Executed", "1")
+            self.set_header(HEADER_PREFIX + "Not-Executed", "1")
             return
-        request_id = self.request.headers[PREFIX + "Request-Id"]
+        request_id = self.request.headers[HEADER_PREFIX + "Request-Id"]
         replica.runs[request_id] += 1
         replica.headers.append(dict(self.request.headers))
         replica.request_uris.append(self.request.uri)
@@ -114,36 +118,36 @@
 
     async def _run(self, behaviour, request_id):
         if behaviour.kind == "vanish":
-            self.hang_up()
+            self.close_connection()
             return
         if behaviour.kind == "silent":
-            await self.go_silent()
+            await self.wait_for_disconnect()
         if behaviour.kind == "crossed":
-            self.connection.write(_make_plain("another", b"stray"))
-        self.set_header(PREFIX + "Request-Id", request_id)
+            self.connection.write(_make_raw_response("another", b"stray"))
+        self.set_header(HEADER_PREFIX + "Request-Id", request_id)
         if behaviour.kind != "unsigned":
-            self.set_header(PREFIX + "Server-Stamp", self.server.id)
+            self.set_header(HEADER_PREFIX + "Server-Stamp", self.server.id)
         if behaviour.kind in ("fail", "impossible"):
             self.set_status(500 if behaviour.kind == "fail" else 422)
             return
         if self.server.events:
-            await self._stream(behaviour)
+            await self._stream_events(behaviour)
         else:
-            await self._answer_plain(behaviour, request_id)
+            await self._respond_plain(behaviour, request_id)
 
-    async def _answer_plain(self, behaviour, request_id):
+    async def _respond_plain(self, behaviour, request_id):
         body = self.request.body or b"nothing"
         if behaviour.cut_after is not None:
             self.set_header("Content-Length", str(len(body)))
             self.write(body[: behaviour.cut_after])
             await self.flush()
-            self.hang_up()
+            self.close_connection()
             return
         await self.finish(body)
         if behaviour.kind == "extra":
-            self.connection.write(_make_plain("another", b"stray"))
+            self.connection.write(_make_raw_response("another", b"stray"))
 
-    async def _stream(self, behaviour):
+    async def _stream_events(self, behaviour):
         self.set_header("Content-Type", "text/event-stream")
         first = int(self.request.headers.get("Last-Event-Id", "0")) + 1
         for sent, number in enumerate(range(first, self.server.events + 1)):
@@ -153,7 +157,7 @@
                     await self.flush()
                 if behaviour.awaits_release:
                     await self.server.release.wait()
-                self.hang_up()
+                self.close_connection()
                 return
             if behaviour.kind == "wrong_order" and sent == 1:
                 continue
@@ -166,11 +170,11 @@
             await self.flush()
 
 
-def _make_plain(request_id, body):
+def _make_raw_response(request_id, body):
     lines = [
         "HTTP/1.1 200 OK",
-        f"{PREFIX}Request-Id: {request_id}",
-        f"{PREFIX}Server-Stamp: stray",
+        f"{HEADER_PREFIX}Request-Id: {request_id}",
+        f"{HEADER_PREFIX}Server-Stamp: stray",
         f"Content-Length: {len(body)}",
         "",
         "",
--- a/pimentowick/fakes/server.py
+++ b/pimentowick/fakes/server.py
@@ -1,4 +1,4 @@
-"""Base of the stand-ins: one HTTP server with an explicit start and close."""
+"""Base class of the fake servers: an HTTP server with fault injection."""
 
 import abc
 import asyncio
@@ -15,7 +15,8 @@
 
 
 class _TrackingServer(httpserver.HTTPServer):
-    # HTTPServer is configurable: initialize takes the place of __init__.
+    # HTTPServer derives from tornado's Configurable, which calls initialize() instead
+    # of __init__().
     def initialize(self, application, fault_injector, **settings):
         super().initialize(application, **settings)
         self.fault_injector = fault_injector
@@ -26,14 +27,14 @@
 
 
 class Server(abc.ABC):
-    """One stand-in of an outside system.
+    """A fake of an outside system, served over HTTP on loopback.
 
     Args:
         port: Port on 127.0.0.1 to listen on; 0 lets the kernel choose.
 
     Attributes:
         address: `127.0.0.1:PORT` once started.
-        fault_injector: The fault orders in force.
+        fault_injector: The `pimentowick.fakes.faults.FaultInjector` of this server.
     """
 
     def __init__(self, port=0):
@@ -53,14 +54,14 @@
         return web.Application(rules, log_function=_ignore_request)
 
     async def start(self):
-        """Listen; `address` is set when this returns."""
+        """Start listening and set `address`."""
         sockets = netutil.bind_sockets(self.port, LOOPBACK, backlog=BACKLOG)
         self.address = f"{LOOPBACK}:{sockets[0].getsockname()[1]}"
         self._http = _TrackingServer(self.make_application(), self.fault_injector)
         self._http.add_sockets(sockets)
 
     async def close(self):
-        """Stop listening and close every connection."""
+        """Stop listening and close all connections."""
         if self._http is None:
             return
         self._http.stop()
--- a/pimentowick/fakes/service.py
+++ b/pimentowick/fakes/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service."""
+"""Fake of a plain service."""
 
 import asyncio
 import collections
@@ -9,10 +9,15 @@
 
 
 class Service(server.Server):
-    """A plain service that counts its runs.
+    """A plain service that counts how often each request ran.
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
+
+    Attributes:
+        runs: Number of runs by request id.
+        keys: Number of runs by idempotency key.
+        total: Number of runs.
     """
 
     def __init__(self, port=0):
@@ -29,8 +34,8 @@
             ("/.*", _EchoHandler),
         ]
 
-    def count_run(self, headers):
-        """Count a run by its request id and key; return its number, from 1."""
+    def record_run(self, headers):
+        """Count a run by request id and idempotency key; return the new total."""
         self.total += 1
         if "X-Request-Id" in headers:
             self.runs[headers["X-Request-Id"]] += 1
@@ -43,30 +48,30 @@
     """`GET /runs`."""
 
     async def get(self):
-        await self.answer({"runs": self.server.runs, "keys": self.server.keys})
+        await self.respond({"runs": self.server.runs, "keys": self.server.keys})
 
 
 class _EchoHandler(faults.Handler):
-    """Any other method and path."""
+    """Any other method and path: echoes the request."""
 
     async def echo(self):
-        run = self.server.count_run(self.request.headers)
+        run = self.server.record_run(self.request.headers)
         body = {
             "method": self.request.method,
             "path": self.request.path,
             "body": self.request.body.decode(errors="replace"),
             "run": run,
         }
-        await self.answer(body)
+        await self.respond(body)
 
     get = head = post = put = patch = delete = options = echo
 
 
 class _ConfirmHandler(_EchoHandler):
-    """`POST /confirm`."""
+    """`POST /confirm`: an operation that is not idempotent."""
 
     async def post(self):
-        body = self.read_object()
-        run = self.server.count_run(self.request.headers)
+        body = self.read_json_object()
+        run = self.server.record_run(self.request.headers)
         await asyncio.sleep(float(body.get("hold_s") or 0.0))
-        await self.answer({"confirmed": body, "run": run})
+        await self.respond({"confirmed": body, "run": run})
--- a/pimentowick/fakes/simulation.py
+++ b/pimentowick/fakes/simulation.py
@@ -1,8 +1,7 @@
-"""An engine in virtual time, to measure and to test policies.
+"""Simulation of an engine in virtual time, to test and benchmark policies.
 
-The agent's own admission and work run unchanged against it. Nothing waits: when no
-task can go on, the clock jumps to the next timer, so that a minute of traffic takes
-a second, every run gives the same counts, and a busy machine adds no noise.
+The agent's admission and work run unchanged against it. When no task is ready, the
+clock jumps to the next timer, so that runs are fast and deterministic.
 """
 
 import asyncio
@@ -56,35 +55,35 @@
 
 
 class SimulatedEngine(external_engine.Engine):
-    """Batches continuously, like the stand-in over HTTP, by the same law.
+    """An engine with continuous batching and the cost model of `engine.Engine`.
 
     Args:
-        base_ms: Milliseconds of a step with nothing running.
-        slope: Part of the base by which each running stream lengthens a step.
-        read_us: Microseconds to read a character of a prompt.
-        max_running: Streams that run at once; others wait first come first served.
-        can_resume: Whether streams can begin after their first tokens.
-        cache_blocks: Blocks of 64 characters that the prefix cache holds.
+        base_step_ms: Duration in milliseconds of a step with no running stream.
+        slope: Fraction of `base_step_ms` that each running stream adds to a step.
+        prefill_us_per_char: Microseconds of prefill per character of the prompt.
+        max_running: Maximum number of running streams; others are queued (FIFO).
+        can_resume: Whether a stream may resume after tokens generated elsewhere.
+        cache_blocks: Capacity of the prefix cache, in blocks of 64 characters.
 
     Attributes:
-        tokens: Tokens produced, by the prefix of the request's id before ``/``.
-        resumes: Streams that began after their first tokens.
-        step_count: Steps so far.
-        prefill_s: Seconds spent reading prompts, by the same prefix.
+        tokens: Tokens generated, by the prefix of the request id before ``/``.
+        resumes: Number of resumed streams.
+        step_count: Number of steps so far.
+        prefill_s: Seconds of prefill, by the same prefix.
     """
 
     def __init__(
         self,
-        base_ms=20.0,
+        base_step_ms=20.0,
         slope=0.02,
-        read_us=20.0,
+        prefill_us_per_char=20.0,
         max_running=64,
         can_resume=True,
         cache_blocks=1024,
     ):
-        self.base_ms = base_ms
+        self.base_step_ms = base_step_ms
         self.slope = slope
-        self.read_us = read_us
+        self.prefill_us_per_char = prefill_us_per_char
         self.max_running = max_running
         self.can_resume = can_resume
         self.cache_blocks = cache_blocks
@@ -99,16 +98,16 @@
         self._task = None
 
     async def start(self):
-        """Begin to step."""
+        """Start the step loop."""
         self._task = asyncio.create_task(self._run_steps())
 
     async def close(self):
-        """Stop stepping."""
+        """Stop the step loop."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
     async def generate(self, generation):
-        """Yield what is generated; see `platform.engine.Engine.generate`."""
+        """Yield the generated events; see `external.engine.Engine.generate`."""
         if generation.resume_tokens and not self.can_resume:
             raise exception.RefusedError(RESUME_REFUSED)
         stream = _Stream(generation)
@@ -125,7 +124,7 @@
             self._remove(stream)
 
     async def cancel(self, request_id):
-        """End the streams of a request."""
+        """Cancel the streams of a request."""
         for stream in [*self.running, *self.waiting]:
             if stream.generation.request_id == request_id:
                 self._remove(stream)
@@ -133,11 +132,11 @@
                 stream.events.put_nowait(end)
 
     async def read_load(self):
-        """Return the load."""
+        """Return the current load."""
         return external_engine.EngineLoad(len(self.running), len(self.waiting))
 
     async def send_order(self, fence, action, **fields):
-        """Obey; there is nothing to order."""
+        """Accept any order without effect."""
 
     def _remove(self, stream):
         if stream in self.running:
@@ -150,7 +149,7 @@
             if not self.running and not self.waiting:
                 self._work.clear()
                 await self._work.wait()
-            # All that was asked for at this instant takes part.
+            # Lets requests submitted at the same instant join this step.
             await asyncio.sleep(0)
             await asyncio.sleep(self._begin_step())
             for stream in list(self.running):
@@ -163,13 +162,19 @@
             stream = self.waiting.popleft()
             self.running.append(stream)
             if not stream.generation.resume_tokens:
-                own_s = self._read(stream.generation.prompt) * self.read_us / 1e6
-                self.prefill_s[_get_group(stream)] += own_s
-                prefill_s += own_s
-        return self.base_ms * (1 + self.slope * len(self.running)) / 1e3 + prefill_s
-
-    def _read(self, prompt):
-        """Return how many characters of a prompt are not in the cache."""
+                duration_s = (
+                    self._prefill(stream.generation.prompt)
+                    * self.prefill_us_per_char
+                    / 1e6
+                )
+                self.prefill_s[_get_group(stream)] += duration_s
+                prefill_s += duration_s
+        return (
+            self.base_step_ms * (1 + self.slope * len(self.running)) / 1e3 + prefill_s
+        )
+
+    def _prefill(self, prompt):
+        """Cache a prompt and return how many of its characters were not cached."""
         blocks = engine.hash_blocks(prompt)
         cached = sum(block in self._cache for block in blocks)
         for block in reversed(blocks):
--- a/pimentowick/fakes/tests/client.py
+++ b/pimentowick/fakes/tests/client.py
@@ -6,16 +6,16 @@
 
 
 @contextlib.asynccontextmanager
-async def run(stand_in):
-    await stand_in.start()
+async def run_server(fake):
+    await fake.start()
     try:
-        yield stand_in
+        yield fake
     finally:
-        await stand_in.close()
+        await fake.close()
 
 
-async def fetch(stand_in, path, body=None, method=None, headers=None, timeout=5.0):
-    url = f"http://{stand_in.address}{path}"
+async def fetch(fake, path, body=None, method=None, headers=None, timeout=5.0):
+    url = f"http://{fake.address}{path}"
     client = httpclient.AsyncHTTPClient(force_instance=True, max_clients=1000)
     try:
         return await client.fetch(
@@ -26,7 +26,7 @@
             request_timeout=timeout,
             raise_error=False,
         )
-    # The client raises these whatever raise_error says: no answer came.
+    # Raised for timeouts and closed connections even if raise_error is false.
     except httpclient.HTTPError as error:
         request = httpclient.HTTPRequest(url)
         return httpclient.HTTPResponse(request, error.code, error=error)
@@ -34,16 +34,16 @@
         client.close()
 
 
-async def ask(stand_in, path, body=None, method=None, headers=None):
-    answer = await fetch(stand_in, path, body, method, headers)
-    return answer.code, json.loads(answer.body) if answer.buffer else None
+async def fetch_json(fake, path, body=None, method=None, headers=None):
+    response = await fetch(fake, path, body, method, headers)
+    return response.code, json.loads(response.body) if response.buffer else None
 
 
 async def generate(engine, request_id, prompt, max_tokens, **fields):
     body = {"request_id": request_id, "attempt": 1, "model": "model"}
     body |= {"prompt": prompt, "max_tokens": max_tokens, **fields}
-    answer = await fetch(engine, "/generate", body)
-    return answer.code, [json.loads(line) for line in answer.body.splitlines()]
+    response = await fetch(engine, "/generate", body)
+    return response.code, [json.loads(line) for line in response.body.splitlines()]
 
 
 async def wait_for(condition):
--- a/pimentowick/fakes/tests/test_deployment.py
+++ b/pimentowick/fakes/tests/test_deployment.py
@@ -3,9 +3,9 @@
 from pimentowick.fakes import deployment, wait
 
 
-def test_process_whose_start_is_given_up_does_not_outlive_it(monkeypatch):
-    # A test that starts crashed engines again ends while one is starting. Left behind,
-    # the process would run on after the test run, with its port and memory.
+def test_cancelled_start_kills_the_process(monkeypatch):
+    # A test may end while it restarts a crashed engine. An orphaned process would keep
+    # its port and memory after the test run.
     started = []
     create = asyncio.create_subprocess_exec
 
@@ -17,8 +17,8 @@
 
     async def run():
         fleet = deployment.Deployment({"entries": 0, "targets": []})
-        silent = ["-c", "import time; time.sleep(600)"]
-        starting = asyncio.create_task(fleet._spawn("x", silent))
+        arguments = ["-c", "import time; time.sleep(600)"]
+        starting = asyncio.create_task(fleet._spawn("x", arguments))
         await wait.wait_for(lambda: started, 10, 0.01)
         starting.cancel()
         await asyncio.gather(starting, return_exceptions=True)
--- a/pimentowick/fakes/tests/test_engine.py
+++ b/pimentowick/fakes/tests/test_engine.py
@@ -6,13 +6,15 @@
 
 def run_with_engine(function, **settings):
     async def run():
-        async with client.run(engine.Engine(base_step_ms=1, **settings)) as server:
+        async with client.run_server(
+            engine.Engine(base_step_ms=1, **settings)
+        ) as server:
             await function(server)
 
     asyncio.run(run())
 
 
-def test_generate_gives_the_expected_text_and_resumes():
+def test_generate_streams_the_expected_text_and_resumes():
     async def check(server):
         code, lines = await client.generate(server, "r", "hello", 5)
         assert code == 200
@@ -21,12 +23,12 @@
         assert lines[-1]["finish_reason"] == "length" and lines[-1]["tokens"] == 5
         _, rest = await client.generate(server, "r", "hello", 5, resume_tokens=3)
         assert rest[:-1] == lines[3:-1]
-        assert (await client.ask(server, "/runs"))[1]["runs"] == {"r": 2}
+        assert (await client.fetch_json(server, "/runs"))[1]["runs"] == {"r": 2}
 
     run_with_engine(check)
 
 
-def test_streams_over_the_limit_wait():
+def test_streams_over_the_limit_are_queued():
     async def check(server):
         calls = [client.generate(server, f"r{i}", f"p{i}", 4) for i in range(6)]
         for i, (_, lines) in enumerate(await asyncio.gather(*calls)):
@@ -37,13 +39,15 @@
     run_with_engine(check, max_running=2)
 
 
-def test_refusals_and_cancel():
+def test_rejection_and_cancellation():
     async def check(server):
         assert (await client.generate(server, "r", "POISON:bad", 1))[0] == 400
         assert (await client.generate(server, "r", "p", 1, model="x"))[0] == 404
         call = asyncio.create_task(client.generate(server, "c", "p", 100000))
         await client.wait_for(lambda: server.running)
-        assert (await client.ask(server, "/cancel", {"request_id": "c"}))[0] == 200
+        assert (await client.fetch_json(server, "/cancel", {"request_id": "c"}))[
+            0
+        ] == 200
         assert (await call)[1][-1]["finish_reason"] == "cancelled"
         assert not server.running
 
@@ -54,28 +58,28 @@
     async def check(server):
         prompt = "x" * 64 * 10
         await client.generate(server, "r", prompt, 1)
-        _, body = await client.ask(server, "/cache-events?from=0")
+        _, body = await client.fetch_json(server, "/cache-events?from=0")
         sequences = [event["sequence"] for event in body["events"]]
         assert sequences == [i for i in range(body["next"]) if i % 7 != 6]
         assert len(server.cache.blocks) == 4
         assert engine.hash_blocks(prompt)[0] in server.cache.blocks
-        _, state = await client.ask(server, "/kv/r")
-        assert (await client.ask(server, "/kv/s", state, "PUT"))[0] == 200
+        _, state = await client.fetch_json(server, "/kv/r")
+        assert (await client.fetch_json(server, "/kv/s", state, "PUT"))[0] == 200
 
     run_with_engine(check, cache_blocks=4, event_lag_s=0)
 
 
-def test_old_orders_are_refused_only_if_the_fence_is_checked():
+def test_outdated_orders_are_rejected_only_if_the_fence_is_checked():
     async def check(server):
         load = {"action": "load", "kind": "model", "name": "m", "version": "2"}
-        assert await client.ask(server, "/orders", load | {"fence": 5}) == (
+        assert await client.fetch_json(server, "/orders", load | {"fence": 5}) == (
             200,
             {"fence": 5},
         )
-        old = {"fence": 4, "action": "role", "role": "decode"}
-        code, _ = await client.ask(server, "/orders", old)
+        outdated = {"fence": 4, "action": "role", "role": "decode"}
+        code, _ = await client.fetch_json(server, "/orders", outdated)
         assert code == (409 if server.check_fence else 200)
-        _, loaded = await client.ask(server, "/load")
+        _, loaded = await client.fetch_json(server, "/load")
         assert "m" in loaded["models"]
         assert loaded["role"] == ("both" if server.check_fence else "decode")
 
@@ -83,10 +87,10 @@
     run_with_engine(check, load_lag_s=0, check_fence=False)
 
 
-def test_client_that_leaves_frees_its_place():
-    """A caller closes its connection in mid answer.
+def test_disconnected_client_frees_its_slot():
+    """A client that disconnects during a response must not keep its slot.
 
-    Its place has to go to the next stream, or the engine fills up with nobody's work.
+    Otherwise the engine fills up with streams that nobody reads.
     """
 
     async def check(server):
@@ -99,20 +103,20 @@
     run_with_engine(check)
 
 
-def test_cut_and_stall_break_a_stream_in_mid_answer():
-    """An engine's connection breaks or goes quiet after some tokens.
+def test_cut_and_stall_truncate_a_stream():
+    """The connection to an engine closes or stalls after some tokens.
 
-    The user sees a part of the answer and no end of it.
+    The client must get a part of the response without its end.
     """
 
     async def check(server):
-        for kind, place_kept in (("cut", False), ("stall", True)):
-            await client.ask(server, "/fault", {"kind": kind, "count": 1})
+        for kind, is_stalled in (("cut", False), ("stall", True)):
+            await client.fetch_json(server, "/fault", {"kind": kind, "count": 1})
             body = {"request_id": kind, "model": "model", "prompt": "p"}
             body["max_tokens"] = 10**6
-            answer = await client.fetch(server, "/generate", body, timeout=0.3)
-            assert answer.code == 599
-            assert ("Timeout" in str(answer.error)) == place_kept
+            response = await client.fetch(server, "/generate", body, timeout=0.3)
+            assert response.code == 599
+            assert ("Timeout" in str(response.error)) == is_stalled
             await client.wait_for(lambda: not server.running)
         assert (await client.generate(server, "r", "p", 2))[1][-1]["done"]
 
--- a/pimentowick/fakes/wait.py
+++ b/pimentowick/fakes/wait.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition, where the time that it takes says nothing."""
+"""Waiting for a condition by polling."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 
     Args:
         predicate: The function.
-        timeout_s: Time after which it is given up, in seconds.
-        poll_s: Time between two calls, in seconds.
+        timeout_s: Timeout in seconds.
+        poll_s: Pause between two calls, in seconds.
 
     Returns:
-        What it returned.
+        The true value that the function returned.
 
     Raises:
-        UnavailableError: It returned nothing true in time.
+        UnavailableError: It returned nothing true within the timeout.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -31,4 +31,6 @@
                     return found
                 await asyncio.sleep(poll_s)
     except TimeoutError as error:
-        raise exception.UnavailableError(f"{predicate} stayed false.") from error
+        raise exception.UnavailableError(
+            f"condition {predicate} not met within {timeout_s} s"
+        ) from error
--- a/pimentowick/fakes/weights.py
+++ b/pimentowick/fakes/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store."""
+"""Fake of the weight store."""
 
 import asyncio
 import heapq
@@ -11,12 +11,15 @@
 
 
 class WeightStore(server.Server):
-    """Weights whose transfers share one rate evenly.
+    """A store of model weights whose concurrent transfers share the bandwidth evenly.
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
-        bytes_per_s: Rate of the store, shared by all transfers that run.
-        weights: Sizes in bytes by `name/version`.
+        bytes_per_s: Total bandwidth, shared by all running transfers.
+        weights: Sizes in bytes by ``name/version``.
+
+    Attributes:
+        transfers: Number of transfers begun.
     """
 
     def __init__(self, port=0, *, bytes_per_s=1e9, weights=None):
@@ -24,11 +27,12 @@
         self.bytes_per_s = bytes_per_s
         self.weights = dict(weights or {})
         self.transfers = 0
-        # Bytes that a transfer running since the start would have got by now.
-        self._served = 0.0
-        self._served_at = time.monotonic()
+        # Bytes that a transfer running since the start would have received so far; a
+        # transfer ends when this reaches its value at the start plus the size.
+        self._progress_bytes = 0.0
+        self._progress_at = time.monotonic()
         self._ends = []
-        self._numbers = itertools.count()
+        self._tie_breakers = itertools.count()
         self._timer = None
 
     def list_routes(self):
@@ -36,46 +40,46 @@
         return [(r"/weights/([^/]+)/([^/]+)", _WeightHandler)]
 
     async def close(self):
-        """Stop listening and drop the transfers."""
+        """Stop listening and abort the transfers."""
         if self._timer is not None:
             self._timer.cancel()
         await super().close()
 
     async def transfer(self, size, closed):
-        """Wait for the time that a transfer takes.
+        """Wait for the duration of a transfer.
 
         Args:
             size: Size in bytes.
-            closed: `asyncio.Event` that ends the transfer early.
+            closed: `asyncio.Event` that aborts the transfer.
         """
-        self._advance()
+        self._update_progress()
         done = asyncio.Event()
-        entry = (self._served + size, next(self._numbers), done)
+        entry = (self._progress_bytes + size, next(self._tie_breakers), done)
         heapq.heappush(self._ends, entry)
         self.transfers += 1
         self._schedule()
-        waits = [asyncio.ensure_future(event.wait()) for event in (done, closed)]
+        tasks = [asyncio.ensure_future(event.wait()) for event in (done, closed)]
         try:
-            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for wait in waits:
-                wait.cancel()
-            self._leave(entry)
+            for task in tasks:
+                task.cancel()
+            self._remove_transfer(entry)
 
-    def _leave(self, entry):
+    def _remove_transfer(self, entry):
         if entry not in self._ends:
             return
-        self._advance()
+        self._update_progress()
         self._ends.remove(entry)
         heapq.heapify(self._ends)
         self._schedule()
 
-    def _advance(self):
+    def _update_progress(self):
         now = time.monotonic()
         if self._ends:
-            elapsed = now - self._served_at
-            self._served += elapsed * self.bytes_per_s / len(self._ends)
-        self._served_at = now
+            elapsed = now - self._progress_at
+            self._progress_bytes += elapsed * self.bytes_per_s / len(self._ends)
+        self._progress_at = now
 
     def _schedule(self):
         if self._timer is not None:
@@ -83,15 +87,17 @@
             self._timer = None
         if not self._ends:
             return
-        remaining = max(0.0, self._ends[0][0] - self._served)
+        remaining = max(0.0, self._ends[0][0] - self._progress_bytes)
         delay_s = remaining * len(self._ends) / self.bytes_per_s
-        self._timer = asyncio.get_running_loop().call_later(delay_s, self._finish)
-
-    def _finish(self):
-        # The earliest is due by construction; rounding must not hold it back.
-        self._advance()
-        self._served = max(self._served, self._ends[0][0])
-        while self._ends and self._ends[0][0] <= self._served:
+        self._timer = asyncio.get_running_loop().call_later(
+            delay_s, self._complete_transfers
+        )
+
+    def _complete_transfers(self):
+        # The timer is set for the first transfer to end: rounding must not delay it.
+        self._update_progress()
+        self._progress_bytes = max(self._progress_bytes, self._ends[0][0])
+        while self._ends and self._ends[0][0] <= self._progress_bytes:
             _, _, done = heapq.heappop(self._ends)
             done.set()
         self._schedule()
@@ -103,7 +109,7 @@
     async def get(self, name, version):
         size = self.server.weights.get(f"{name}/{version}")
         if size is None:
-            await self.answer({"error": "unknown"}, status=404)
+            await self.respond({"error": "unknown"}, status=404)
             return
         await self.server.transfer(size, self.closed)
-        await self.answer({"name": name, "version": version, "bytes": size})
+        await self.respond({"name": name, "version": version, "bytes": size})
