--- a/pimentowick/entry/tests/test_online.py
+++ b/pimentowick/entry/tests/test_online.py
@@ -43,10 +43,12 @@
         junk = {"index": stream.index, "text": " wrong"}
         for request_id, attempt in [("other", 1), (stream.request_id, 0)]:
             other = engine._Stream(request_id, attempt, "", 1, 0, stream.sink)
-            stream.sink.send(other.make_line(**junk) + other.make_end("stop"), False)
+            stream.sink.send(
+                other.make_line(**junk) + other.make_end_line("stop"), False
+            )
         if stream.index:
             stream.index -= 1
-            stream.sink.send(stream.make_step(), False)
+            stream.sink.send(stream.make_token_line(), False)
         super()._emit(stream)
 
 
--- a/pimentowick/fakes/engine.py
+++ b/pimentowick/fakes/engine.py
@@ -88,7 +88,7 @@
         line = {"request_id": self.request_id, "attempt": self.attempt, **fields}
         return json.dumps(line) + "\n"
 
-    def make_step(self):
+    def make_token_line(self):
         if self.index >= self.max_tokens:
             return ""
         text = make_token(self.prompt, self.index)
@@ -96,7 +96,7 @@
         self.index += 1
         return line
 
-    def make_end(self, reason):
+    def make_end_line(self, reason):
         return self.make_line(done=True, finish_reason=reason, tokens=self.index)
 
 
@@ -252,7 +252,7 @@
         found = [each for each in streams if each.request_id == request_id]
         for stream in found:
             self.remove(stream)
-            stream.sink.send(stream.make_end("cancelled"), final=True)
+            stream.sink.send(stream.make_end_line("cancelled"), final=True)
         return len(found)
 
     def remove(self, stream):
@@ -359,10 +359,10 @@
         return len(stream.prompt) - cached + stream.index * TOKEN_CHARACTERS
 
     def _emit(self, stream):
-        text = stream.make_step()
+        text = stream.make_token_line()
         final = stream.index >= stream.max_tokens
         if final:
-            text += stream.make_end("length")
+            text += stream.make_end_line("length")
             self.remove(stream)
         stream.sink.send(text, final)
 
--- a/pimentowick/fakes/weights.py
+++ b/pimentowick/fakes/weights.py
@@ -19,19 +19,20 @@
         weights: Sizes in bytes by ``name/version``.
 
     Attributes:
-        transfers: Number of transfers begun.
+        transfer_count: Number of transfers begun.
+        running_transfers: Heap of the running transfers, first to end first.
     """
 
     def __init__(self, port=0, *, bytes_per_s=1e9, weights=None):
         super().__init__(port)
         self.bytes_per_s = bytes_per_s
         self.weights = dict(weights or {})
-        self.transfers = 0
+        self.transfer_count = 0
         # Bytes that a transfer running since the start would have received so far; a
         # transfer ends when this reaches its value at the start plus the size.
         self._progress_bytes = 0.0
         self._progress_at = time.monotonic()
-        self._ends = []
+        self.running_transfers = []
         self._tie_breakers = itertools.count()
         self._timer = None
 
@@ -54,9 +55,9 @@
         """
         self._update_progress()
         done = asyncio.Event()
-        entry = (self._progress_bytes + size, next(self._tie_breakers), done)
-        heapq.heappush(self._ends, entry)
-        self.transfers += 1
+        transfer = (self._progress_bytes + size, next(self._tie_breakers), done)
+        heapq.heappush(self.running_transfers, transfer)
+        self.transfer_count += 1
         self._schedule()
         tasks = [asyncio.ensure_future(event.wait()) for event in (done, closed)]
         try:
@@ -64,31 +65,33 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self._remove_transfer(entry)
+            self._remove_transfer(transfer)
 
-    def _remove_transfer(self, entry):
-        if entry not in self._ends:
+    def _remove_transfer(self, transfer):
+        if transfer not in self.running_transfers:
             return
         self._update_progress()
-        self._ends.remove(entry)
-        heapq.heapify(self._ends)
+        self.running_transfers.remove(transfer)
+        heapq.heapify(self.running_transfers)
         self._schedule()
 
     def _update_progress(self):
         now = time.monotonic()
-        if self._ends:
+        if self.running_transfers:
             elapsed = now - self._progress_at
-            self._progress_bytes += elapsed * self.bytes_per_s / len(self._ends)
+            self._progress_bytes += (
+                elapsed * self.bytes_per_s / len(self.running_transfers)
+            )
         self._progress_at = now
 
     def _schedule(self):
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if not self._ends:
+        if not self.running_transfers:
             return
-        remaining = max(0.0, self._ends[0][0] - self._progress_bytes)
-        delay_s = remaining * len(self._ends) / self.bytes_per_s
+        remaining = max(0.0, self.running_transfers[0][0] - self._progress_bytes)
+        delay_s = remaining * len(self.running_transfers) / self.bytes_per_s
         self._timer = asyncio.get_running_loop().call_later(
             delay_s, self._complete_transfers
         )
@@ -96,9 +99,12 @@
     def _complete_transfers(self):
         # The timer is set for the first transfer to end: rounding must not delay it.
         self._update_progress()
-        self._progress_bytes = max(self._progress_bytes, self._ends[0][0])
-        while self._ends and self._ends[0][0] <= self._progress_bytes:
-            _, _, done = heapq.heappop(self._ends)
+        self._progress_bytes = max(self._progress_bytes, self.running_transfers[0][0])
+        while (
+            self.running_transfers
+            and self.running_transfers[0][0] <= self._progress_bytes
+        ):
+            _, _, done = heapq.heappop(self.running_transfers)
             done.set()
         self._schedule()
 
--- a/pimentowick/placement/tests/test_decider.py
+++ b/pimentowick/placement/tests/test_decider.py
@@ -131,14 +131,14 @@
     async def check(fleet):
         fleet.store.bytes_per_s = 1.0
         await fleet.place(MODELS)
-        await fleet.wait_for(lambda: fleet.store.transfers == 1)
+        await fleet.wait_for(lambda: fleet.store.transfer_count == 1)
         await fleet.crash(fleet.find_decider())
         # The transfer under way still has its old rate; the next decider ends it.
         fleet.store.bytes_per_s = 1e6
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
-        assert fleet.store.transfers == 2
+        assert fleet.store.transfer_count == 2
         assert fleet.count_ready(embedded.MODEL) == 2
 
     run_placed(check)
@@ -237,7 +237,7 @@
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_ready(NEW) == 1
         assert len({order["fence"] for order in fleet.list_orders()}) == 1
-        assert fleet.store.transfers == 1
+        assert fleet.store.transfer_count == 1
 
     run_placed(check)
 
@@ -296,12 +296,12 @@
 
         def is_loaded():
             nonlocal peak
-            peak = max(peak, len(fleet.store._ends))
+            peak = max(peak, len(fleet.store.running_transfers))
             return fleet.count_ready(NEW) == 5
 
         await fleet.wait_for(is_loaded)
         assert 1 <= peak <= 2
-        assert fleet.store.transfers == 5
+        assert fleet.store.transfer_count == 5
 
     run_placed(check, engines=5)
 
@@ -312,7 +312,7 @@
 
     async def check(fleet):
         await fleet.place(MODELS)
-        await fleet.wait_for(lambda: fleet.store.transfers == 1)
+        await fleet.wait_for(lambda: fleet.store.transfer_count == 1)
         fleet.log.fault_injector.inject(faults.Fault("down"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         owners = [e for e in fleet.entries.values() if e.decider.is_owner]
--- a/pimentowick/placement/tests/test_executor.py
+++ b/pimentowick/placement/tests/test_executor.py
@@ -12,7 +12,7 @@
         assert await bench.see_to(order) == "done"
         await bench.send(order)
         assert bench.list_orders() == [("load", "new")]
-        assert bench.store.transfers == 1
+        assert bench.store.transfer_count == 1
         assert "new" in bench.agent.describe()["models"]
 
     run_bench(check)
@@ -95,7 +95,7 @@
         bench.place_fault(bench.engine, "lose_answer", count=1, path="/orders")
         assert await bench.see_to(bench.make_order(5)) == "done"
         assert bench.list_orders() == [("load", "new")] * 2
-        assert bench.store.transfers == 1
+        assert bench.store.transfer_count == 1
 
     run_bench(check)
 
@@ -123,7 +123,7 @@
         bench.store.bytes_per_s = 100.0
         old = bench.make_order(5)
         await bench.send(old)
-        await bench.wait_for(lambda: bench.store.transfers == 1)
+        await bench.wait_for(lambda: bench.store.transfer_count == 1)
         assert (await bench.send(bench.make_order(9, "fence", "")))[0] == 200
         assert (await bench.send(old))[0] == 409
         bench.store.bytes_per_s = 1e6
