--- a/pimentowick/fakes/engine.py
+++ b/pimentowick/fakes/engine.py
@@ -126,17 +126,17 @@
     def list_events(self, start):
         limit = time.monotonic() - self.event_lag_s
         events = []
-        following = start
+        next_sequence = start
         for at, event in self.events:
             if at > limit:
                 break
-            following = max(following, event["sequence"] + 1)
+            next_sequence = max(next_sequence, event["sequence"] + 1)
             if (
                 event["sequence"] >= start
                 and (event["sequence"] + 1) % EVENT_DROP_INTERVAL
             ):
                 events.append(event)
-        return events, following
+        return events, next_sequence
 
     def _record_event(self, kind, block):
         event = {"sequence": self.sequence, "kind": kind, "block": block}
@@ -460,8 +460,8 @@
             start = int(self.get_query_argument("from", "0"))
         except ValueError as error:
             raise web.HTTPError(400, "from is not a number") from error
-        events, following = self.server.cache.list_events(start)
-        await self.respond({"events": events, "next": following})
+        events, next_sequence = self.server.cache.list_events(start)
+        await self.respond({"events": events, "next": next_sequence})
 
 
 class _OrdersHandler(faults.Handler):
--- a/pimentowick/fakes/log.py
+++ b/pimentowick/fakes/log.py
@@ -163,14 +163,14 @@
         if not isinstance(records, list):
             raise web.HTTPError(400, "records is not a list")
         try:
-            first, following = self.server.append(stream, records)
+            first, next_offset = self.server.append(stream, records)
         except RecordTooLargeError as error:
             await self.respond({"error": str(error)}, status=413)
         except RateLimitError as error:
             self.set_header("Retry-After", str(math.ceil(error.retry_after_s)))
             await self.respond({"error": str(error)}, status=429)
         else:
-            await self.respond({"first": first, "next": following})
+            await self.respond({"first": first, "next": next_offset})
 
     async def get(self, stream):
         try:
--- a/pimentowick/fakes/platform_site.py
+++ b/pimentowick/fakes/platform_site.py
@@ -120,7 +120,7 @@
         self._version = 0
 
     async def start(self):
-        """Start everything and wait until the entries are ready."""
+        """Start all components and wait until the entries are ready."""
         await self.client.start()
         await self.store.start()
         for server in self.replicas:
@@ -171,7 +171,7 @@
         )
 
     async def close(self):
-        """Stop everything."""
+        """Stop all components."""
         for gateway in self.gateways:
             await gateway.close()
         for server in self.replicas:
--- a/pimentowick/fakes/platform_store.py
+++ b/pimentowick/fakes/platform_store.py
@@ -58,7 +58,7 @@
 
 
 class PlatformStore(server.Server):
-    """The store.
+    """The store, with its records in memory.
 
     Args:
         port: Port to listen on; 0 lets the kernel choose.
@@ -68,7 +68,7 @@
         append_delay_s: If set, appends get no response and are processed this many
             seconds later; their conditions are checked at that time.
         capacity_bytes: Total size of all records from which on appends get 507.
-        calls: Number of calls by path.
+        calls: Number of requests by path.
         partitions: Partitions by topic and number.
         groups: Consumer groups by name.
     """
@@ -322,8 +322,8 @@
         body = self.read_json_object()
         group = self.find_group(body)
         key = (body["topic"], body["part"])
-        held = [row for row in group.list_assignments() if (row[0], row[1]) == key]
-        if not held or held[0][2] != body["member"]:
+        found = [row for row in group.list_assignments() if (row[0], row[1]) == key]
+        if not found or found[0][2] != body["member"]:
             await self.respond({"error": "not the holder"}, 409)
             return
         group.offsets[key] = body["offset"]
