--- a/pimentowick/fakes/engine.py
+++ b/pimentowick/fakes/engine.py
@@ -23,9 +23,9 @@
 ]
 
 BLOCK_CHARACTERS = 64
-BLOCK_DIGITS = 16
-TOKEN_DIGITS = 6
-TOKEN_CHARACTERS = TOKEN_DIGITS + 2
+BLOCK_HASH_DIGITS = 16
+TOKEN_HASH_DIGITS = 6
+TOKEN_CHARACTERS = TOKEN_HASH_DIGITS + 2
 MAX_CACHE_EVENTS = 8192
 MAX_EXPORTS = 1024
 # One in this many cache events is lost, so that readers have to cope with gaps.
@@ -54,8 +54,8 @@
     """
     digest = _hash_prompt(prompt)
     if index == 0:
-        return f" p{digest[:TOKEN_DIGITS]}"
-    return f" w{_hash_text(f'{digest}:{index}').hexdigest()[:TOKEN_DIGITS]}"
+        return f" p{digest[:TOKEN_HASH_DIGITS]}"
+    return f" w{_hash_text(f'{digest}:{index}').hexdigest()[:TOKEN_HASH_DIGITS]}"
 
 
 def make_expected_text(prompt, max_tokens):
@@ -70,7 +70,7 @@
     for stop in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
         block_text = prompt[stop - BLOCK_CHARACTERS : stop]
         state.update(block_text.encode(errors="surrogatepass"))
-        blocks.append(state.hexdigest()[:BLOCK_DIGITS])
+        blocks.append(state.hexdigest()[:BLOCK_HASH_DIGITS])
     return blocks
 
 
--- a/pimentowick/fakes/weights.py
+++ b/pimentowick/fakes/weights.py
@@ -28,8 +28,8 @@
         self.bytes_per_s = bytes_per_s
         self.weights = dict(weights or {})
         self.transfer_count = 0
-        # Bytes that a transfer running since the start would have received so far; a
-        # transfer ends when this reaches its value at the start plus the size.
+        # Bytes that a transfer running since the beginning would have received so far.
+        # A transfer ends once this has grown by its size.
         self._progress_bytes = 0.0
         self._progress_at = time.monotonic()
         self.running_transfers = []
