--- a/benchmarks/policy_runs.py
+++ b/benchmarks/policy_runs.py
@@ -178,7 +178,7 @@
     )
     await engine.close()
     share = duration_s / (duration_s + policy_traffic.WARM_UP_S)
-    return Row(outcome, engine.read_s["online"] * share)
+    return Row(outcome, engine.prefill_s["online"] * share)
 
 
 def run_live(policy, traffic, duration_s, seed=1):
--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -16,7 +16,7 @@
 
 __all__ = ["AuditHandler", "CallerAuditHandler", "Query", "find_audit_events"]
 
-DEFAULT_LIMIT = 200
+DEFAULT_READ_LIMIT = 200
 MAX_LIMIT = 5000
 FILTER_FIELDS = ("kind", "name", "by", "workspace")
 
@@ -42,7 +42,7 @@
     workspace: str | None = None
     since: float = 0.0
     until: float = math.inf
-    limit: int = DEFAULT_LIMIT
+    limit: int = DEFAULT_READ_LIMIT
 
     def matches(self, event):
         """Return whether an audit event, as a dictionary, passes the filter."""
@@ -97,7 +97,7 @@
         try:
             fields["since"] = float(self.get_query_argument("since", "0"))
             fields["until"] = float(self.get_query_argument("until", "inf"))
-            limit = int(self.get_query_argument("limit", str(DEFAULT_LIMIT)))
+            limit = int(self.get_query_argument("limit", str(DEFAULT_READ_LIMIT)))
         except ValueError as error:
             raise http_web.refuse_input(
                 "since and until are epoch seconds, limit is a whole number."
--- a/pimentowick/entry/listing.py
+++ b/pimentowick/entry/listing.py
@@ -5,7 +5,7 @@
 
 __all__ = ["CallerJobsHandler", "OperatorJobsHandler"]
 
-DEFAULT_LIMIT = 100
+DEFAULT_READ_LIMIT = 100
 MAX_LIMIT = 1000
 
 
@@ -36,7 +36,7 @@
 
 
 def _read_limit(handler):
-    text = handler.get_query_argument("limit", str(DEFAULT_LIMIT))
+    text = handler.get_query_argument("limit", str(DEFAULT_READ_LIMIT))
     if not text.isdigit() or not 1 <= int(text) <= MAX_LIMIT:
         raise http_web.refuse_input(f"limit is from 1 to {MAX_LIMIT}.")
     return int(text)
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -100,8 +100,8 @@
     # The append succeeds but its acknowledgement is lost. A retry must not duplicate
     # the job, and a refusal would be wrong since the job runs.
     async def check(site):
-        site.store.board.place(
-            faults.Order("lose_answer", count=2, path="/-/log-append")
+        site.store.fault_injector.inject(
+            faults.Fault("lose_answer", count=2, path="/-/log-append")
         )
         assert (await submit(site, make_body(2))).status == 202
         await read_all(site, 2)
@@ -125,7 +125,7 @@
 
         async def put_before_the_store_falls_silent(*args):
             written = await put(*args)
-            site.store.late_s = 60.0
+            site.store.append_delay_s = 60.0
             return written
 
         contents.put = put_before_the_store_falls_silent
@@ -138,9 +138,9 @@
 def test_job_is_refused_while_the_store_rejects_appends():
     # The store rejects appends with 503 and has not applied them.
     async def check(site):
-        site.store.board.place(faults.Order("down", path="/-/log-append"))
+        site.store.fault_injector.inject(faults.Fault("down", path="/-/log-append"))
         assert (await submit(site, make_body(2))).status == 503
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         status, _ = await read(site)
         assert status == 404
 
@@ -150,7 +150,7 @@
 def test_jobs_beyond_the_quota_are_refused():
     async def check(site):
         servers = site.replicas
-        servers[0].gap_s = 5.0
+        servers[0].event_interval_s = 5.0
         assert (await submit(site, make_body(9, tokens=100))).status == 202
         assert (await submit(site, make_body(2, tokens=100), "job2")).status == 429
         assert (await submit(site, make_body(9, tokens=100))).status == 202
@@ -162,8 +162,8 @@
     # A target crashes in the middle of an event. The item resumes after the last whole
     # event, and no event is duplicated or lost.
     server = replica.Replica()
-    server.plan = [
-        replica.Behaviour(cut_after=2, half_event=True, held=True),
+    server.planned_behaviours = [
+        replica.Behaviour(cut_after=2, partial_event=True, awaits_release=True),
         replica.Behaviour("fail"),
     ]
 
@@ -182,7 +182,7 @@
 def test_item_that_always_fails_is_given_up(kind, runs):
     # Without a limit, an item that always fails would occupy a slot indefinitely.
     server = replica.Replica()
-    server.plan = [replica.Behaviour(kind) for _ in range(10)]
+    server.planned_behaviours = [replica.Behaviour(kind) for _ in range(10)]
 
     async def check(site):
         await submit(site, make_body(1))
@@ -195,7 +195,7 @@
 
 def test_cancelled_job_stops_and_keeps_its_results():
     # The job is cancelled at an entry that does not run it.
-    server = replica.Replica(events=400, gap_s=0.02)
+    server = replica.Replica(events=400, event_interval_s=0.02)
 
     async def check(site):
         await submit(site, make_body(4))
@@ -211,7 +211,7 @@
 
 
 def test_body_of_an_item_can_be_read_until_it_has_a_result():
-    server = replica.Replica(events=400, gap_s=0.02)
+    server = replica.Replica(events=400, event_interval_s=0.02)
 
     async def check(site):
         body = make_body(1, size=600_000)
@@ -241,7 +241,7 @@
 def test_unknown_job_is_503_while_the_store_is_unavailable():
     # Another entry may have accepted the job during the outage.
     async def check(site):
-        site.store.board.place(faults.Order("down"))
+        site.store.fault_injector.inject(faults.Fault("down"))
         status, _ = await read(site)
         assert status == 503
 
@@ -250,7 +250,7 @@
 
 def test_another_entry_resumes_from_the_checkpoints():
     # The entry that runs the items drains; the next owner resumes from the checkpoints.
-    server = replica.Replica(events=60, gap_s=0.02)
+    server = replica.Replica(events=60, event_interval_s=0.02)
 
     async def check(site):
         await submit(site, make_body(8))
@@ -342,7 +342,7 @@
 
     async def check(site):
         server = site.replicas[0]
-        server.plan = [replica.Behaviour("silent")] * 9
+        server.planned_behaviours = [replica.Behaviour("silent")] * 9
         assert (await submit(site, make_body(2))).status == 202
         site.publish([route for route in ROUTES if route is not BATCH])
         results = await read_all(site, 2)
@@ -371,10 +371,10 @@
 async def start_unrecorded_item(site, server):
     """Return the gateway where an item has completed during an outage of the store."""
     # The item must complete after the outage began, or its result would be recorded.
-    server.holds_last = True
+    server.holds_last_event = True
     assert (await submit(site, make_body(1))).status == 202
     await wait.wait_for(lambda: server.running, 10, 0.005)
-    site.store.board.place(faults.Order("down"))
+    site.store.fault_injector.inject(faults.Fault("down"))
     server.release.set()
 
     def find():
@@ -388,13 +388,13 @@
 def test_item_completed_in_an_outage_is_recorded_after_its_partition_is_lost():
     # Partitions are reassigned when the store recovers. The completed text must not be
     # discarded, or the item would run again.
-    server = replica.Replica(events=10, gap_s=0.02)
+    server = replica.Replica(events=10, event_interval_s=0.02)
 
     async def check(site):
         batch_runner = (await start_unrecorded_item(site, server)).runner
         batch_runner.set_partitions(frozenset())
         assert batch_runner.recording_partitions
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         (row,) = await read_all(site, 1)
         assert row["state"] == "done"
         assert server.runs == {"item0": 1}
@@ -406,7 +406,7 @@
 def test_draining_entry_records_results_after_an_outage():
     # A drain outlasts a short outage of the store. Otherwise all items that completed
     # at this entry would run again.
-    server = replica.Replica(events=10, gap_s=0.02)
+    server = replica.Replica(events=10, event_interval_s=0.02)
 
     async def check(site):
         gateway = await start_unrecorded_item(site, server)
@@ -414,7 +414,7 @@
         await wait.wait_for(lambda: gateway.runner.recording_partitions, 10, 0.005)
         await asyncio.wait({draining}, timeout=daemon.BALANCER_REMOVAL_S + 0.2)
         assert not draining.done()
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         await asyncio.wait_for(draining, 20)
         (row,) = await read_all(site, 1, entry=1 - site.gateways.index(gateway))
         assert row["state"] == "done"
@@ -432,7 +432,7 @@
         jobs = gateway.storage.job_table.jobs
         await wait.wait_for(lambda: "known" in jobs, 10, 0.01)
         gateway._supervisor.stop_child("ownership")
-        site.store.board.place(faults.Order("stall"))
+        site.store.fault_injector.inject(faults.Fault("stall"))
         reachability = gateway.ownership._reachability
         reachability.observe_peers = lambda now, peers_renewed_at: False
         reachability._peers_observed_at, reachability._is_confirmed = (
@@ -447,7 +447,7 @@
         assert (await submit(site, make_body(1), "known")).status == 202
         status, _ = await read(site, after=9, job_id="unknown")
         assert status == 503
-        site.store.board.place(faults.Order("clear"))
+        site.store.fault_injector.inject(faults.Fault("clear"))
         assert (await submit(site, make_body(2), entry=1)).status == 202
 
     run_with([replica.Replica()], check, entries=2)
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -23,7 +23,7 @@
     route = platform_site.make_route("/lot/", "batch", run_target_ms=20_000)
 
     async def run():
-        server = replica.Replica(events=400, gap_s=0.02)
+        server = replica.Replica(events=400, event_interval_s=0.02)
         async with platform_site.open_site([server], [route]) as site:
             body = test_job_api.make_body(ITEMS, size=BODY_BYTES)
             for number in range(JOBS):
@@ -103,8 +103,8 @@
 
 def test_content_is_written_although_answers_are_lost():
     async def check(fake_store, one, other):
-        order = faults.Order("lose_answer", count=2, path="/-/log-append")
-        fake_store.board.place(order)
+        order = faults.Fault("lose_answer", count=2, path="/-/log-append")
+        fake_store.fault_injector.inject(order)
         written = await one.storage.contents.put("j", {"b/0/w": b"body"}, 5)
         contents_by_name = await other.storage.contents.read(
             "j", list(written.values())
@@ -130,13 +130,13 @@
 UNANSWERED_S = 300.0
 
 
-async def run_with_first_answer_lost(fake_store, late_s, coroutine):
+async def run_with_first_answer_lost(fake_store, append_delay_s, coroutine):
     """Run a coroutine whose first append is not answered in time; return its result."""
     appends = fake_store.calls["/-/log-append"]
-    fake_store.late_s = late_s
+    fake_store.append_delay_s = append_delay_s
     task = asyncio.create_task(coroutine)
     await wait.wait_for(lambda: fake_store.calls["/-/log-append"] > appends, 5, 0.001)
-    fake_store.late_s = None
+    fake_store.append_delay_s = None
     return await task
 
 
@@ -156,8 +156,8 @@
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.05, UNANSWERED_S])
-def test_lost_answer_does_not_delay_accepting_a_job(late_s):
+@pytest.mark.parametrize("append_delay_s", [0.05, UNANSWERED_S])
+def test_lost_answer_does_not_delay_accepting_a_job(append_delay_s):
     # The append takes effect at once or late, without an acknowledgement. Reading the
     # partition or retrying the append must resolve this well before the timeout.
     async def check(fake_store, one, other):
@@ -172,7 +172,7 @@
             return [] if "j" in job_table.jobs else [job_record]
 
         commit = one.storage.accepted.commit(build, 5)
-        await run_with_first_answer_lost(fake_store, late_s, commit)
+        await run_with_first_answer_lost(fake_store, append_delay_s, commit)
         assert len(fake_store.get_partition("keyed.jobs", 0).records) == 1
 
     test_transcript.run_with(check)
@@ -184,7 +184,9 @@
         await wait.wait_for(lambda: other.storage.is_loaded, 5, 0.005)
         await asyncio.gather(*(cancel(task) for task in other.tasks))
         other.store.timeout_s = UNANSWERED_S
-        fake_store.board.place(faults.Order("stall", count=1, path="/-/log-read"))
+        fake_store.fault_injector.inject(
+            faults.Fault("stall", count=1, path="/-/log-read")
+        )
         for task in one.tasks:
             await cancel(task)
         contents_by_name = await asyncio.wait_for(
@@ -195,8 +197,8 @@
     test_transcript.run_with(check)
 
 
-@pytest.mark.parametrize("late_s", [0.3, UNANSWERED_S])
-def test_lost_answer_does_not_delay_recording_a_result(late_s):
+@pytest.mark.parametrize("append_delay_s", [0.3, UNANSWERED_S])
+def test_lost_answer_does_not_delay_recording_a_result(append_delay_s):
     # A duplicated result must be listed once.
     async def check(fake_store, one, other):
         await one.accept()
@@ -204,11 +206,11 @@
         item_transcript.add(event_stream.Event(b"", "1", "a"))
         one.store.timeout_s = UNANSWERED_S
         listing = item_transcript.give_up(5)
-        await run_with_first_answer_lost(fake_store, late_s, listing)
+        await run_with_first_answer_lost(fake_store, append_delay_s, listing)
         outcomes = fake_store.get_partition("keyed.outcomes", 0)
         jobs = other.storage.job_table.jobs
         await wait.wait_for(lambda: jobs["j"].results, 5, 0.005)
-        if late_s != UNANSWERED_S:
+        if append_delay_s != UNANSWERED_S:
             await wait.wait_for(lambda: outcomes.end >= 2, 5, 0.005)
         await other.storage.refresh()
         assert len(jobs["j"].results) == 1
--- a/pimentowick/gateway/tests/test_ledger.py
+++ b/pimentowick/gateway/tests/test_ledger.py
@@ -52,8 +52,8 @@
     # Every other append succeeds without an acknowledgement.
     async def check(fake_store, writers):
         for number in range(6):
-            order = faults.Order("lose_answer", count=1, path="/-/log-append")
-            fake_store.board.place(order)
+            order = faults.Fault("lose_answer", count=1, path="/-/log-append")
+            fake_store.fault_injector.inject(order)
             await writers[number % 2].ledger.commit(make_add(f"j{number}"), 10)
         assert [count_records(fake_store, f"j/j{n}") for n in range(6)] == [1] * 6
 
@@ -63,10 +63,10 @@
 def test_late_append_takes_effect_once():
     # An append takes effect after it was retried.
     async def check(fake_store, writers):
-        fake_store.late_s = 0.7
+        fake_store.append_delay_s = 0.7
         task = asyncio.create_task(writers[0].ledger.commit(make_add("a"), 10))
         await wait.wait_for(lambda: fake_store.calls["/-/log-append"] == 1, 5, 0.005)
-        fake_store.late_s = None
+        fake_store.append_delay_s = None
         await task
         await writers[1].ledger.commit(make_add("b"), 10)
         assert [count_records(fake_store, f"j/{name}") for name in "ab"] == [1, 1]
@@ -78,7 +78,7 @@
     # The pending append may still take effect, so the change is not known to have
     # failed.
     async def check(fake_store, writers):
-        fake_store.late_s = 30.0
+        fake_store.append_delay_s = 30.0
         with pytest.raises(ledger.InDoubtError):
             await writers[0].ledger.commit(make_add("a"), 1.5)
 
@@ -89,12 +89,12 @@
     # Another append invalidates the condition of the pending one, which cannot take
     # effect any more.
     async def check(fake_store, writers):
-        fake_store.late_s = 30.0
+        fake_store.append_delay_s = 30.0
         task = asyncio.create_task(writers[0].ledger.commit(make_add("a"), 4))
         await wait.wait_for(lambda: fake_store.calls["/-/log-append"] == 1, 5, 0.005)
         fake_store.put(writer.TOPIC, "e/none", b"1")
-        fake_store.late_s = None
-        fake_store.board.place(faults.Order("down", path="/-/log-append"))
+        fake_store.append_delay_s = None
+        fake_store.fault_injector.inject(faults.Fault("down", path="/-/log-append"))
         with pytest.raises(ledger.NotCommittedError):
             await task
         assert count_records(fake_store, "j/a") == 0
@@ -108,9 +108,9 @@
     async def check(fake_store, writers):
         await writers[0].ledger.commit(make_add("first"), 10)
         for _ in range(50):
-            order = faults.Order("slow", seconds=0.3, path="/-/log-append")
-            fake_store.board.place(order)
-        fake_store.stored_limit = 0
+            order = faults.Fault("slow", seconds=0.3, path="/-/log-append")
+            fake_store.fault_injector.inject(order)
+        fake_store.capacity_bytes = 0
         with pytest.raises(ledger.NotCommittedError):
             await writers[0].ledger.commit(make_add("a"), 0.2)
 
@@ -120,8 +120,8 @@
 def test_change_committed_at_its_timeout_succeeds():
     async def check(fake_store, writers):
         await writers[0].ledger.commit(make_add("first"), 10)
-        order = faults.Order("slow", seconds=0.3, path="/-/log-append")
-        fake_store.board.place(order)
+        order = faults.Fault("slow", seconds=0.3, path="/-/log-append")
+        fake_store.fault_injector.inject(order)
         await writers[0].ledger.commit(make_add("a"), 0.2)
         assert count_records(fake_store, "j/a") == 1
 
@@ -146,14 +146,14 @@
         reader = writers[1]
         await writers[0].ledger.commit(make_add("a"), 10)
         await wait.wait_for(lambda: "a" in reader.ledger.job_table.jobs, 5, 0.005)
-        fake_store.board.place(faults.Order("down", path="/-/log-read"))
+        fake_store.fault_injector.inject(faults.Fault("down", path="/-/log-read"))
         partition = fake_store.get_partition(writer.TOPIC, 0)
         fake_store.put(writer.TOPIC, "j/a", b"")
         await asyncio.sleep(0)
         job_record = record.make_job("b", "h", "/p/", 0.0, [])
         fake_store.put(writer.TOPIC, job_record.key, job_record.value)
         partition.trim(partition.end)
-        fake_store.board.place(faults.Order("clear"))
+        fake_store.fault_injector.inject(faults.Fault("clear"))
         await wait.wait_for(
             lambda: set(reader.ledger.job_table.jobs) == {"b"}, 5, 0.005
         )
--- a/pimentowick/gateway/tests/test_neighbour.py
+++ b/pimentowick/gateway/tests/test_neighbour.py
@@ -92,7 +92,7 @@
     # All slots of a target run batch items, of one entry or of two, and online requests
     # arrive at one entry. Engines have no priorities, so the items must be preempted
     # before the requests can start.
-    server = replica.Replica(events=400, gap_s=0.02, slots=4)
+    server = replica.Replica(events=400, event_interval_s=0.02, slots=4)
     batch = platform_site.make_route("/lot/", "batch", run_target_ms=60_000)
 
     async def run():
@@ -133,7 +133,7 @@
     # Entries in two failure domains exchange reports through one relay in each. If a
     # report were lost, a slot in use would be assigned again.
     monkeypatch.setattr(neighbour, "RELAY_MIN_PEERS", 1)
-    server = replica.Replica(events=4000, gap_s=0.02)
+    server = replica.Replica(events=4000, event_interval_s=0.02)
 
     async def run():
         async with platform_site.open_site([server], ROUTES) as site:
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -146,7 +146,7 @@
             await wait.wait_for(lambda: one.neighbours.peers, 10, 0.01)
             await wait.wait_for(is_replaced, 10, 0.01)
             since = time.monotonic()
-            site.store.board.place(faults.Order("down"))
+            site.store.fault_injector.inject(faults.Fault("down"))
             await wait.wait_for(lambda: not is_replaced(), 10, 0.01)
             other.neighbours._transport.abort()
             other.neighbours._transport = None
--- a/pimentowick/gateway/tests/test_transcript.py
+++ b/pimentowick/gateway/tests/test_transcript.py
@@ -99,11 +99,11 @@
         calls = fake_store.calls["/-/log-append"]
         finishing = asyncio.create_task(item_transcript.finish(10))
         await wait.wait_for(lambda: fake_store.calls["/-/log-append"] > calls, 5, 0.001)
-        fake_store.late_s = 0.6
+        fake_store.append_delay_s = 0.6
         await wait.wait_for(
             lambda: fake_store.calls["/-/log-append"] > calls + 1, 5, 0.001
         )
-        fake_store.late_s = None
+        fake_store.append_delay_s = None
         await finishing
         records = fake_store.get_partition("keyed.outcomes", 0)
         await wait.wait_for(lambda: records.end >= 2, 5, 0.005)
@@ -117,8 +117,8 @@
         await one.accept()
         item_transcript = await one.open_transcript()
         add_events(item_transcript, "a", 1, 2)
-        fake_store.board.place(
-            faults.Order("lose_answer", count=1, path="/-/log-append")
+        fake_store.fault_injector.inject(
+            faults.Fault("lose_answer", count=1, path="/-/log-append")
         )
         await item_transcript.save(5)
         add_events(item_transcript, "a", 3, 3)
--- a/pimentowick/placement/tests/test_placement_controller.py
+++ b/pimentowick/placement/tests/test_placement_controller.py
@@ -14,7 +14,7 @@
 }
 
 
-class PlacedFleet(embedded.Embedded):
+class PlacedFleet(embedded.EmbeddedDeployment):
     """An embedded deployment with a weight store and configured models."""
 
     def __init__(self, max_models=2, **fields):
@@ -137,14 +137,14 @@
     async def check(fleet):
         fleet.store.bytes_per_s = 1.0
         await fleet.place(MODELS)
-        await fleet.wait_for(lambda: fleet.store.transfers == 1)
+        await fleet.wait_for(lambda: fleet.store.transfer_count == 1)
         await fleet.crash(fleet.find_controller())
         # The transfer in progress keeps its rate; the next controller cancels it.
         fleet.store.bytes_per_s = 1e6
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_orders() == {("load", NEW): 1}
-        assert fleet.store.transfers == 2
+        assert fleet.store.transfer_count == 2
         assert fleet.count_ready(embedded.MODEL) == 2
 
     run_placed_fleet(check)
@@ -235,13 +235,15 @@
 
     async def check(fleet):
         for target in fleet.targets.values():
-            target.board.place(faults.Order("lose_answer", count=1, path="/orders"))
+            target.fault_injector.inject(
+                faults.Fault("lose_answer", count=1, path="/orders")
+            )
         await fleet.place(MODELS)
         await fleet.wait_for(lambda: len(fleet.list_orders()) == 2)
         await fleet.wait_for(fleet.is_settled)
         assert fleet.count_ready(NEW) == 1
         assert len({order["fence"] for order in fleet.list_orders()}) == 1
-        assert fleet.store.transfers == 1
+        assert fleet.store.transfer_count == 1
 
     run_placed_fleet(check)
 
@@ -251,7 +253,7 @@
     and the new one must be loaded once the store is back."""
 
     async def check(fleet):
-        fleet.store.board.place(faults.Order("down"))
+        fleet.store.fault_injector.inject(faults.Fault("down"))
         await fleet.place(MODELS)
         await fleet.wait_for(
             lambda: any(
@@ -260,7 +262,7 @@
         )
         assert fleet.list_orders() == []
         assert (await fleet.chat("hello")).status == 200
-        fleet.store.board.place(faults.Order("clear"))
+        fleet.store.fault_injector.inject(faults.Fault("clear"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
 
     run_placed_fleet(check)
@@ -302,12 +304,12 @@
 
         def is_loaded():
             nonlocal peak
-            peak = max(peak, len(fleet.store._ends))
+            peak = max(peak, len(fleet.store.running_transfers))
             return fleet.count_ready(NEW) == 5
 
         await fleet.wait_for(is_loaded)
         assert 1 <= peak <= 2
-        assert fleet.store.transfers == 5
+        assert fleet.store.transfer_count == 5
 
     run_placed_fleet(check, engines=5)
 
@@ -318,12 +320,12 @@
 
     async def check(fleet):
         await fleet.place(MODELS)
-        await fleet.wait_for(lambda: fleet.store.transfers == 1)
-        fleet.log.board.place(faults.Order("down"))
+        await fleet.wait_for(lambda: fleet.store.transfer_count == 1)
+        fleet.log.fault_injector.inject(faults.Fault("down"))
         await fleet.wait_for(lambda: fleet.count_ready(NEW) == 1)
         owners = [e for e in fleet.entries.values() if e.placement_controller.is_owner]
         assert len(owners) == 1
-        fleet.log.board.place(faults.Order("clear"))
+        fleet.log.fault_injector.inject(faults.Fault("clear"))
 
     run_placed_fleet(check)
 
--- a/pimentowick/platform/tests/test_store.py
+++ b/pimentowick/platform/tests/test_store.py
@@ -38,8 +38,8 @@
     # After a power loss, all hosts read a large topic over slow links. With a total
     # timeout no read would ever complete, and no entry would learn its jobs.
     async def check(fake_store, client):
-        order = faults.Order("trickle", seconds=TIMEOUT_S / 4, path="/-/log-")
-        fake_store.board.place(order)
+        order = faults.Fault("trickle", seconds=TIMEOUT_S / 4, path="/-/log-")
+        fake_store.fault_injector.inject(order)
         page = await read(client)
         assert [len(record.value) for record in page.records] == [20_000] * 4
         assert page.end == 4
@@ -51,7 +51,7 @@
 def test_stalled_response_times_out(read):
     # The connection stalls in the middle of a response.
     async def check(fake_store, client):
-        fake_store.board.place(faults.Order("stall", path="/-/log-"))
+        fake_store.fault_injector.inject(faults.Fault("stall", path="/-/log-"))
         with pytest.raises(store.UnknownOutcomeError):
             await read(client)
 
@@ -62,7 +62,7 @@
     # With the timeout of a small call, a large append over a slow link would never
     # complete, however often it is retried.
     async def check(fake_store, client):
-        fake_store.board.place(faults.Order("slow", seconds=TIMEOUT_S * 1.5))
+        fake_store.fault_injector.inject(faults.Fault("slow", seconds=TIMEOUT_S * 1.5))
         records = [store.KeyedRecord("k", b"x" * 600_000)]
         assert await client.append("keyed.t", 0, records, 4) == 5
         with pytest.raises(store.UnknownOutcomeError):
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -83,7 +83,7 @@
 
 def check_no_waits(wait_counter, callers):
     assert not any(wait_counter.count().values()), wait_counter.count()
-    assert all(outcome.whole for outcome in callers.outcomes)
+    assert all(outcome.complete for outcome in callers.outcomes)
 
 
 @pytest.mark.parametrize("stalled", [False, True])
@@ -99,9 +99,11 @@
         await fleet.wait_for(lambda: len(target.running) >= 3)
         if stalled:
             count = len(target.running)
-            order = faults.Order("stall", count=count, path="/generate")
-            target.board.place(order)
-            await fleet.wait_for(lambda: order not in target.board.orders)
+            order = faults.Fault("stall", count=count, path="/generate")
+            target.fault_injector.inject(order)
+            await fleet.wait_for(
+                lambda: order not in target.fault_injector.active_faults
+            )
         await send_online_requests(callers)
         job = await fleet.fetch("GET", f"/v1/batches/{answer.decode()['id']}")
         assert job.decode()["request_counts"]["pending"] > 0
--- a/pimentowick/tests/test_planned_stop.py
+++ b/pimentowick/tests/test_planned_stop.py
@@ -24,7 +24,7 @@
 }
 
 
-class DeploymentAdapter(embedded.Embedded):
+class DeploymentAdapter(embedded.EmbeddedDeployment):
     """A deployment of separate processes with the interface of an embedded one."""
 
     def __init__(self, processes):
@@ -167,7 +167,7 @@
         answer = await idle_connection.send_request(fleet.tokens["a"])
         assert b" 503 " in answer and b'"not_run"' in answer
         outcomes = await asyncio.gather(*tasks)
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
         assert await stopping == 0
         if with_job:
             await check_job(fleet, job_id)
@@ -186,7 +186,7 @@
         tasks = await start_requests(fleet, callers, "entry-0")
         assert await fleet.processes.stop("agent-lm-0") == 0
         outcomes = await asyncio.gather(*tasks)
-        assert all(outcome.whole for outcome in outcomes)
+        assert all(outcome.complete for outcome in outcomes)
         await check_job(fleet, job_id)
         await fleet.update_run_counts()
         for outcome in outcomes:
@@ -203,14 +203,14 @@
 
     async def check(fleet, callers):
         for target in fleet.targets.values():
-            target.board.place(faults.Order("stall", path="/generate"))
+            target.fault_injector.inject(faults.Fault("stall", path="/generate"))
         task = asyncio.ensure_future(callers.stream("x", 20))
         await fleet.wait_for(lambda: callers.outcomes and callers.outcomes[0].text)
         entry = fleet.entries["entry-0"]
         await entry.drain()
         assert not task.done()
         await fleet.crash("entry-0")
-        assert not (await task).whole
+        assert not (await task).complete
 
     fake_callers.run_with_callers(
         check, entry_settings={"drain_s": 0.5}, agent_settings={"idle_s": 60.0}
@@ -238,7 +238,7 @@
         for number in range(20)
     ]
     outcomes = await asyncio.gather(*calls)
-    failed = [(each.status, each.error) for each in outcomes if not each.whole]
+    failed = [(each.status, each.error) for each in outcomes if not each.complete]
     assert failed == []
 
 
@@ -247,7 +247,7 @@
 
     async def check(fleet, callers):
         agent = fleet.agents["agent-lm-0"]
-        await fleet.list_host("agent-lm-0", "agent", agent.address, "leaving")
+        await fleet.register_host("agent-lm-0", "agent", agent.address, "leaving")
         await fleet.wait_for(lambda: is_excluded_everywhere(fleet, "agent-lm-0"))
         before = count_requests(fleet.targets["lm-0"])
         answer = await fleet.submit(embedded.make_job_lines(ITEMS), "k")
@@ -272,7 +272,7 @@
         await fleet.wait_for(lambda: target.runs)
         agent = fleet.agents["agent-lm-0"]
         failing_service = getattr(fleet, down)
-        failing_service.board.place(faults.Order("down"))
+        failing_service.fault_injector.inject(faults.Fault("down"))
         fleet.entries["entry-1"].fleet._supervisor.stop_child("agent-lm-0")
         draining = asyncio.ensure_future(agent.drain())
         await fleet.wait_for(lambda: agent.state == "draining")
@@ -281,7 +281,7 @@
         assert await draining
         await fleet.crash("agent-lm-0")
         await send_to_all_entries(fleet, callers)
-        failing_service.board.place(faults.Order("clear"))
+        failing_service.fault_injector.inject(faults.Fault("clear"))
         await fleet.wait_for_job(answer.decode()["id"])
         assert count_requests(target) == before
 
--- a/pimentowick/tests/test_tls.py
+++ b/pimentowick/tests/test_tls.py
@@ -47,7 +47,7 @@
 def run(certificate_dir, check, **entry_settings):
     async def run_check():
         files = {"tls": make_tls_fields(certificate_dir, "host")}
-        fleet = embedded.Embedded(
+        fleet = embedded.EmbeddedDeployment(
             entry_settings={**files, **entry_settings}, agent_settings=files
         )
         fleet.caller_client = http_client.Client(
@@ -180,7 +180,7 @@
         ]
         for server in servers:
             await server.start()
-        fleet = embedded.Embedded(entries=1, engines=0, services=0)
+        fleet = embedded.EmbeddedDeployment(entries=1, engines=0, services=0)
         await fleet.client.start()
         platform = {"log": servers[0].address, "hosts": servers[1].address}
         entry = daemon.Entry(
@@ -210,7 +210,7 @@
 
     async def check():
         files = make_tls_fields(certificate_dir, "elsewhere")
-        fleet = embedded.Embedded(entries=1, engines=0, services=0)
+        fleet = embedded.EmbeddedDeployment(entries=1, engines=0, services=0)
         await fleet.log.start()
         await fleet.hosts.start()
         await fleet.client.start()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -47,7 +47,7 @@
 
 def make_expected_answer(content):
     """Return the text that the fake engine generates for one user message."""
-    return engine.expect_text(f"user: {content}", MAX_TOKENS)
+    return engine.make_expected_text(f"user: {content}", MAX_TOKENS)
 
 
 async def send_chat(fleet, model, token, sentence, number):
