--- a/pimentowick/agent/daemon.py
+++ b/pimentowick/agent/daemon.py
@@ -49,14 +49,14 @@
     Attributes:
         address: ``IP:port`` once started.
         state: ``starting``, ``ready`` or ``draining``.
-        stop_orders: `pimentowick.daemon.StopOrders` that end the process.
+        shutdown_requests: `pimentowick.daemon.ShutdownRequests` that end the process.
         running: The connections whose request is at work.
     """
 
     def __init__(self, settings):
         self.settings = settings
         self.state = STARTING
-        self.stop_orders = process_daemon.StopOrders()
+        self.shutdown_requests = process_daemon.ShutdownRequests()
         self._process = secrets.token_hex(4)
         self._heard = {}
         self._revision = 0
--- a/pimentowick/agent/handler.py
+++ b/pimentowick/agent/handler.py
@@ -149,7 +149,7 @@
 
     def post(self):
         """Answer at once; `GET /ready` shows how it goes on."""
-        self.agent.stop_orders.drain()
+        self.agent.shutdown_requests.request_drain()
         self.write_json({"state": "draining"}, 202)
 
 
--- a/pimentowick/batch/call.py
+++ b/pimentowick/batch/call.py
@@ -84,7 +84,7 @@
             # A claim that is in force after the caller's deadline serves nobody.
             bound = min(self._settings.append_s, timeout_s)
             await shard.replica.append([claim], bound)
-        except exception.LogFullError as error:
+        except exception.LogThrottledError as error:
             raise _refuse_unclaimed(str(error)) from error
         except exception.LogUnavailableError as error:
             # The claim may be in the log, or come there later, and would then stand
--- a/pimentowick/batch/carry.py
+++ b/pimentowick/batch/carry.py
@@ -95,4 +95,4 @@
     async def _append_group(self, replica, group):
         if group:
             await keeper.append_patiently(replica, group)
-            self._metrics.count_carried(len(group))
+            self._metrics.count_reappended(len(group))
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -175,7 +175,7 @@
             timeout_s=STOP_TIMEOUT_S,
             # On a pooled connection that is silent for good the order would be lost,
             # and the user would wait until all leases have lapsed.
-            fresh=True,
+            new_connection=True,
         )
 
     async def _cancel_work(self, work):
--- a/pimentowick/batch/intake.py
+++ b/pimentowick/batch/intake.py
@@ -83,7 +83,7 @@
         items.append(item)
         hashed.update(orjson.dumps(item, option=orjson.OPT_SORT_KEYS))
         if len(items) > MAX_ITEMS:
-            raise http_web.refuse_input(
+            raise http_web.make_input_error(
                 f"A job holds at most {MAX_ITEMS} items. Split it.", "too_many_items"
             )
     return Submission(items, model, hashed.hexdigest())
@@ -118,7 +118,9 @@
     try:
         parsed = _Line.model_validate_json(line)
     except pydantic.ValidationError as error:
-        raise _refuse_line(number, completion.describe_fault(error)) from error
+        raise _refuse_line(
+            number, completion.describe_validation_error(error)
+        ) from error
     try:
         generation = completion.parse_generation(parsed.body, workspace)
     except exception.RefusedError as error:
@@ -127,7 +129,7 @@
 
 
 def _refuse_line(number, message):
-    return http_web.refuse_input(f"Line {number}: {message}.", "bad_line")
+    return http_web.make_input_error(f"Line {number}: {message}.", "bad_line")
 
 
 async def make_chunks(submission_id, items, record_bytes):
@@ -144,7 +146,7 @@
         length = len(orjson.dumps(item)) + 1
         await turn.take(length)
         if length > limit:
-            raise http_web.refuse_input(
+            raise http_web.make_input_error(
                 f"Item {item['custom_id']!r} is larger than {limit} bytes. Shorten it.",
                 "item_too_large",
                 413,
--- a/pimentowick/batch/shard.py
+++ b/pimentowick/batch/shard.py
@@ -44,7 +44,9 @@
         >>> rank_entries(3, rest) == rest
         True
     """
-    return sorted(names, key=lambda name: rendezvous.weigh(number, name), reverse=True)
+    return sorted(
+        names, key=lambda name: rendezvous.compute_weight(number, name), reverse=True
+    )
 
 
 class Shard:
--- a/pimentowick/batch/writer.py
+++ b/pimentowick/batch/writer.py
@@ -134,7 +134,7 @@
         self.appends += 1
         try:
             await buffer.shard.replica.log.append(buffer.shard.stream, [buffer.unknown])
-        except exception.LogFullError:
+        except exception.LogThrottledError:
             # Everybody's appends are over the rate; more of them would not help.
             await asyncio.sleep(FULL_PAUSE_S)
             return False
--- a/pimentowick/cli/connection.py
+++ b/pimentowick/cli/connection.py
@@ -53,7 +53,7 @@
             timeout_s: Bound of one exchange, in seconds.
 
         Returns:
-            `result.Result` of the `pimentowick.client.Answer`, whose status is below
+            `result.Result` of the `pimentowick.client.Response`, whose status is below
             300, or the `pimentowick.cli.outcome.Failure`.
         """
         headers = {"Authorization": f"Bearer {self._token}", **(headers or {})}
@@ -70,7 +70,13 @@
     async def _try(self, address, method, path, body, headers, timeout_s):
         try:
             answer = await self._client.fetch(
-                method, address, path, body, headers, timeout_s=timeout_s, fresh=True
+                method,
+                address,
+                path,
+                body,
+                headers,
+                timeout_s=timeout_s,
+                new_connection=True,
             )
         except http_client.TransportError as error:
             return result.Failure(_explain_transport(error))
@@ -81,7 +87,7 @@
     async def fetch_json(self, method, path, body=None, **fields):
         """Send a request; like `fetch`, with the decoded body as the result."""
         answer = await self.fetch(method, path, body, **fields)
-        return answer.map(http_client.Answer.decode)
+        return answer.map(http_client.Response.decode)
 
 
 def make_path(path, **fields):
--- a/pimentowick/cli/tests/test_commands.py
+++ b/pimentowick/cli/tests/test_commands.py
@@ -207,9 +207,9 @@
         await shell.run("host", "drain", "nobody", "--yes", code=ExitCode.REFUSED)
         answer = await shell.run("host", "drain", "lm-0", "--yes")
         assert answer["host"] == "agent-lm-0"
-        assert fleet.agents["agent-lm-0"].stop_orders.begun
+        assert fleet.agents["agent-lm-0"].shutdown_requests.requested
         await shell.run("host", "drain", "entry-1", "--yes")
-        assert fleet.entries["entry-1"].stop_orders.begun
+        assert fleet.entries["entry-1"].shutdown_requests.requested
         notes = (await shell.run("audit", "--kind", "order"))["audit"]
         assert [note["name"] for note in notes] == ["agent-lm-0", "entry-1"]
         assert all(note["accepted"] and note["by"] == "test" for note in notes)
@@ -232,7 +232,7 @@
         await fleet.log.close()
         refused = await shell.run("host", "drain", "lm-0", "--yes", code=5)
         assert "SIGTERM" in refused["error"]["message"]
-        assert not fleet.agents["agent-lm-0"].stop_orders.begun
+        assert not fleet.agents["agent-lm-0"].shutdown_requests.requested
 
     run(tmp_path, check, entry_settings={"append_s": 0.5})
 
@@ -277,7 +277,7 @@
         drain = ("host", "drain", "lm-0", "--yes")
         lost = await shell.run(*drain, code=ExitCode.UNKNOWN)
         assert lost["error"]["code"] == "unknown_outcome"
-        assert not fleet.agents["agent-lm-0"].stop_orders.begun
+        assert not fleet.agents["agent-lm-0"].shutdown_requests.requested
         await server.close()
 
     run(tmp_path, check)
--- a/pimentowick/client.py
+++ b/pimentowick/client.py
@@ -20,7 +20,7 @@
 
 from pimentowick import exception, verdict
 
-__all__ = ["Answer", "Client", "Stream", "TransportError"]
+__all__ = ["Client", "Response", "Stream", "TransportError"]
 
 DEFAULT_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 1.0
@@ -44,20 +44,20 @@
 
     Attributes:
         verdict: Whether the request may have run at the peer.
-        silent: Whether a stream was open but nothing came for its idle time.
-        expired: Whether the time that the request was given is over; the peer may
+        stalled: Whether a stream was open but nothing came for its idle time.
+        timed_out: Whether the time that the request was given is over; the peer may
             be well.
     """
 
-    def __init__(self, message, verdict, silent=False, expired=False):
+    def __init__(self, message, verdict, stalled=False, timed_out=False):
         super().__init__(message)
         self.verdict = verdict
-        self.silent = silent
-        self.expired = expired
+        self.stalled = stalled
+        self.timed_out = timed_out
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A whole answer to one request."""
 
     status: int
@@ -163,12 +163,12 @@
         tls: `pimentowick.tls.ClientTls` for encrypted peers, or None.
 
     Attributes:
-        peak_waiting: Most requests that waited for a free connection at once.
+        peak_queued: Most requests that waited for a free connection at once.
     """
 
     def __init__(self, max_connections=64, tls=None):
         self.max_connections = max_connections
-        self.peak_waiting = 0
+        self.peak_queued = 0
         self._tls = tls
         self._curl = None
         self._distrusted = {}
@@ -183,7 +183,7 @@
             self._curl.close()
             self._curl = None
 
-    def distrust(self, address):
+    def retire_connections(self, address):
         """Stop reusing the connections to `address` that are open now."""
         if len(self._distrusted) >= MAX_DISTRUSTED:
             self._distrusted.pop(next(iter(self._distrusted)))
@@ -197,7 +197,7 @@
         body=None,
         headers=None,
         timeout_s=DEFAULT_TIMEOUT_S,
-        fresh=False,
+        new_connection=False,
     ):
         """Send one request and return its whole answer.
 
@@ -208,14 +208,14 @@
             body: Bytes, or data to send as JSON, or None.
             headers: Dictionary of headers.
             timeout_s: Bound of the whole exchange, in seconds.
-            fresh: Whether to use a new connection.
+            new_connection: Whether to use a new connection.
 
         Raises:
             TransportError: If no whole answer came.
         """
         transfer = _Transfer()
         request = self._build(
-            transfer, method, address, path, body, headers, timeout_s, fresh
+            transfer, method, address, path, body, headers, timeout_s, new_connection
         )
         task = self._send(request)
         try:
@@ -225,27 +225,27 @@
                 response = await asyncio.shield(task)
         except httpclient.HTTPError as error:
             found = self._explain(transfer, address, error)
-            if found.expired:
+            if found.timed_out:
                 # The peer may be slow or the connection dead; nothing tells which,
                 # and a new connection costs little.
-                self.distrust(address)
+                self.retire_connections(address)
             raise found from error
         except TimeoutError as error:
             raise TransportError(
                 f"No free connection to {address} in time.",
                 transfer.get_verdict(),
-                expired=True,
+                timed_out=True,
             ) from error
         finally:
             if not task.done():
                 self._abort(transfer, request)
-        return Answer(response.code, response.body, response.headers)
+        return Response(response.code, response.body, response.headers)
 
     def _send(self, request):
         task = asyncio.ensure_future(self._curl.fetch(request, raise_error=False))
         # An aborted request ends with an error that nobody waits for.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
-        self.peak_waiting = max(self.peak_waiting, self._curl.waiting)
+        self.peak_queued = max(self.peak_queued, self._curl.waiting)
         return task
 
     def _abort(self, transfer, request):
@@ -263,7 +263,7 @@
         headers=None,
         timeout_s=3600.0,
         idle_s=5.0,
-        fresh=False,
+        new_connection=False,
     ):
         """Send one request and return the `Stream` of its answer.
 
@@ -275,7 +275,7 @@
             headers: Dictionary of headers.
             timeout_s: Bound of the whole exchange, in seconds.
             idle_s: Longest time without a byte, in seconds.
-            fresh: Whether to use a new connection.
+            new_connection: Whether to use a new connection.
         """
         stream = Stream(self, address, idle_s)
         request = self._build(
@@ -286,7 +286,7 @@
             body,
             headers,
             timeout_s,
-            fresh,
+            new_connection,
             stream=stream,
         )
         stream.start(self._send(request), request)
@@ -301,7 +301,7 @@
         body,
         headers,
         timeout_s,
-        fresh,
+        new_connection,
         stream=None,
     ):
         if body is not None and not isinstance(body, bytes):
@@ -312,7 +312,7 @@
         distrusted_at = self._distrusted.get(address)
 
         def prepare(curl):
-            _apply_options(curl, transfer, fresh, distrusted_at)
+            _apply_options(curl, transfer, new_connection, distrusted_at)
             if self._tls is not None:
                 self._tls.apply(curl)
             if stream is not None:
@@ -332,15 +332,15 @@
 
     def _explain(self, transfer, address, error):
         number = getattr(error, "errno", None)
-        expired = transfer.sent and number == pycurl.E_OPERATION_TIMEDOUT
+        timed_out = transfer.sent and number == pycurl.E_OPERATION_TIMEDOUT
         return TransportError(
             f"No answer from {address}: {error}.",
             transfer.get_verdict(),
-            expired=expired,
+            timed_out=timed_out,
         )
 
 
-def _apply_options(curl, transfer, fresh, distrusted_at):
+def _apply_options(curl, transfer, new_connection, distrusted_at):
     # Handles are used again, so every option is set for every request.
     curl.setopt(pycurl.NOPROXY, "*")
     # One buffer of each kind stays with every handle; the defaults of 64 KB for what
@@ -354,9 +354,9 @@
     lifetime = 0
     if distrusted_at is not None:
         lifetime = int(time.monotonic() - distrusted_at)
-        fresh = fresh or lifetime == 0
+        new_connection = new_connection or lifetime == 0
     curl.setopt(pycurl.MAXLIFETIME_CONN, lifetime)
-    curl.setopt(pycurl.FRESH_CONNECT, 1 if fresh else 0)
+    curl.setopt(pycurl.FRESH_CONNECT, 1 if new_connection else 0)
 
 
 class Stream:
@@ -439,17 +439,17 @@
 
     def _explain_silence(self):
         # A request that still waited for a connection says nothing about the peer.
-        silent = self.transfer.sent
-        if silent:
-            self._client.distrust(self.address)
+        stalled = self.transfer.sent
+        if stalled:
+            self._client.retire_connections(self.address)
         return TransportError(
             f"Nothing came from {self.address} for {self.idle_s:g} s.",
             self.transfer.get_verdict(),
-            silent,
+            stalled,
         )
 
-    async def read_rest(self):
-        """Return the rest of the answer as an `Answer`, however long it takes.
+    async def read_response(self):
+        """Return the rest of the answer as a `Response`, however long it takes.
 
         An answer that keeps arriving over a slow link is no reason to give up.
 
@@ -467,7 +467,7 @@
         if error is not None:
             raise self._client._explain(self.transfer, self.address, error)
         response = self.task.result()
-        return Answer(response.code, b"".join(self._pieces), response.headers)
+        return Response(response.code, b"".join(self._pieces), response.headers)
 
     def _take_lines(self):
         if not self._pieces:
--- a/pimentowick/completion.py
+++ b/pimentowick/completion.py
@@ -8,7 +8,7 @@
 from pimentowick import web as http_web
 
 __all__ = [
-    "describe_fault",
+    "describe_validation_error",
     "make_chat_body",
     "make_chat_chunk",
     "make_text_body",
@@ -55,7 +55,9 @@
     try:
         body = _Body.model_validate(data)
     except pydantic.ValidationError as error:
-        raise http_web.refuse_input(describe_fault(error) + ".") from error
+        raise http_web.make_input_error(
+            describe_validation_error(error) + "."
+        ) from error
     use = workspace.models.get(body.model)
     if use is None:
         raise _refuse_unknown("model", body.model, workspace.models)
@@ -75,7 +77,7 @@
         return render_messages(body.messages)
     if body.prompt is not None:
         return body.prompt
-    raise http_web.refuse_input("messages: Field required (or prompt).")
+    raise http_web.make_input_error("messages: Field required (or prompt).")
 
 
 def render_messages(messages):
@@ -100,7 +102,7 @@
     )
 
 
-def describe_fault(error):
+def describe_validation_error(error):
     """Return the first fault of a pydantic error as one clause."""
     fault = error.errors()[0]
     place = ".".join(str(part) for part in fault["loc"])
--- a/pimentowick/daemon.py
+++ b/pimentowick/daemon.py
@@ -8,12 +8,12 @@
 from pimentowick import exception, logs
 from pimentowick import settings as process_settings
 
-__all__ = ["StopOrders", "run_daemon"]
+__all__ = ["ShutdownRequests", "run_daemon"]
 
 EXIT_SETTINGS = 2
 
 
-class StopOrders:
+class ShutdownRequests:
     """Signals and orders that stop a process.
 
     The first one makes it drain. A second signal makes it close at once; a second
@@ -21,35 +21,35 @@
     and that must not cut the requests that are being finished.
 
     Attributes:
-        begun: Whether the process was told to stop.
+        requested: Whether the process was told to stop.
 
     Examples:
         >>> async def example():
-        ...     orders = StopOrders()
-        ...     orders.drain()
-        ...     orders.drain()
-        ...     await orders.wait()
-        ...     again = asyncio.ensure_future(orders.wait())
+        ...     requests = ShutdownRequests()
+        ...     requests.request_drain()
+        ...     requests.request_drain()
+        ...     await requests.wait()
+        ...     again = asyncio.ensure_future(requests.wait())
         ...     await asyncio.sleep(0)
         ...     assert not again.done()
-        ...     orders.stop()
+        ...     requests.on_signal()
         ...     await again
         >>> asyncio.run(example())
     """
 
     def __init__(self):
-        self.begun = False
+        self.requested = False
         self._queue = asyncio.Queue()
 
-    def stop(self):
+    def on_signal(self):
         """Take a signal."""
-        self.begun = True
+        self.requested = True
         self._queue.put_nowait(None)
 
-    def drain(self):
+    def request_drain(self):
         """Take an order."""
-        if not self.begun:
-            self.stop()
+        if not self.requested:
+            self.on_signal()
 
     async def wait(self):
         """Wait for the next one that counts."""
@@ -65,7 +65,7 @@
     Args:
         model: Class of its settings.
         make: Function that makes the daemon from its settings. What its attribute
-            `stop_orders`, a `StopOrders`, takes stops it as a signal does.
+            `shutdown_requests`, a `ShutdownRequests`, takes stops it as a signal does.
         arguments: Command line without the program: the path of the settings file.
     """
     if len(arguments) != 1:
@@ -82,15 +82,15 @@
 
 
 async def _serve(daemon):
-    orders = daemon.stop_orders
+    requests = daemon.shutdown_requests
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, orders.stop)
+        loop.add_signal_handler(number, requests.on_signal)
     await daemon.start()
     print(json.dumps({"listening": daemon.address}), flush=True)
-    await orders.wait()
+    await requests.wait()
     draining = asyncio.ensure_future(daemon.drain())
-    again = asyncio.ensure_future(orders.wait())
+    again = asyncio.ensure_future(requests.wait())
     await asyncio.wait({draining, again}, return_when=asyncio.FIRST_COMPLETED)
     again.cancel()
     draining.cancel()
--- a/pimentowick/entry/audit.py
+++ b/pimentowick/entry/audit.py
@@ -98,11 +98,11 @@
             fields["until"] = float(self.get_query_argument("until", "inf"))
             limit = int(self.get_query_argument("limit", str(AUDIT_LIMIT)))
         except ValueError as error:
-            raise http_web.refuse_input(
+            raise http_web.make_input_error(
                 "since and until are epoch seconds, limit is a whole number."
             ) from error
         if not 1 <= limit <= MAX_AUDIT_LIMIT:
-            raise http_web.refuse_input(f"limit is from 1 to {MAX_AUDIT_LIMIT}.")
+            raise http_web.make_input_error(f"limit is from 1 to {MAX_AUDIT_LIMIT}.")
         return Query(**{**fields, "limit": limit, **fixed})
 
 
--- a/pimentowick/entry/configuration.py
+++ b/pimentowick/entry/configuration.py
@@ -38,7 +38,9 @@
         """Answer with the document in force."""
         found = self.entry.configuration.get_document(kind, name)
         if found is None:
-            raise http_web.refuse_input(f"There is no {kind} {name!r}.", "unknown", 404)
+            raise http_web.make_input_error(
+                f"There is no {kind} {name!r}.", "unknown", 404
+            )
         self.write_json(
             {
                 "kind": kind,
@@ -72,7 +74,7 @@
     async def _append(self, record):
         try:
             return await self.entry.publish(record)
-        except exception.LogFullError as error:
+        except exception.LogThrottledError as error:
             raise exception.RefusedError(
                 verdict.Refusal(503, "log_full", f"{error} Try again.", retry_after=1.0)
             ) from error
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -59,7 +59,7 @@
             process from earlier ones there.
         state: ``starting``, ``ready``, ``draining`` while readiness fails but
             requests are still taken, then ``stopping``.
-        stop_orders: `pimentowick.daemon.StopOrders` that end the process.
+        shutdown_requests: `pimentowick.daemon.ShutdownRequests` that end the process.
         configuration: The `pimentowick.configuration.fold.ConfigurationFold`.
     """
 
@@ -67,7 +67,7 @@
         self.settings = settings
         self.owner = f"{settings.name}#{secrets.token_hex(4)}"
         self.state = STARTING
-        self.stop_orders = process_daemon.StopOrders()
+        self.shutdown_requests = process_daemon.ShutdownRequests()
         self.metrics = process_metrics.EntryMetrics()
         self.limits = limits.ConcurrencyLimits(settings.max_online)
         # One pool for each class of traffic: none waits for another one's sockets.
@@ -236,7 +236,9 @@
 
     async def drain(self):
         """Fail readiness, finish what runs, and hand the shards over."""
-        logger.info("entry: Draining. {} requests run.", self._server.count_busy())
+        logger.info(
+            "entry: Draining. {} requests run.", self._server.count_active_requests()
+        )
         self.state = DRAINING
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.settings.drain_s
--- a/pimentowick/entry/handler.py
+++ b/pimentowick/entry/handler.py
@@ -212,7 +212,7 @@
         RefusedError: It is larger than `MAX_ONLINE_BYTES`.
     """
     if len(body) > MAX_ONLINE_BYTES:
-        raise http_web.refuse_input(
+        raise http_web.make_input_error(
             f"An online body holds at most {MAX_ONLINE_BYTES} bytes. Shorten it.",
             "too_large",
             413,
@@ -274,7 +274,7 @@
         body,
         headers,
         timeout_s=timeout_s,
-        fresh=request.method != "GET",
+        new_connection=request.method != "GET",
     )
 
 
@@ -298,4 +298,4 @@
     except pydantic.ValidationError as error:
         fault = error.errors()[0]
         place = ".".join(str(part) for part in fault["loc"])
-        raise http_web.refuse_input(f"{place}: {fault['msg']}.") from error
+        raise http_web.make_input_error(f"{place}: {fault['msg']}.") from error
--- a/pimentowick/entry/job.py
+++ b/pimentowick/entry/job.py
@@ -62,7 +62,7 @@
         """Take a job in, and answer once it is safe in the log."""
         key = self.request.headers.get("Idempotency-Key")
         if not key:
-            raise http_web.refuse_input(
+            raise http_web.make_input_error(
                 "Send an Idempotency-Key, so that a resend is not a second job.",
                 "key_missing",
             )
@@ -99,7 +99,7 @@
                 deadline=deadline,
                 at=time.time(),
             )
-        except exception.LogFullError as error:
+        except exception.LogThrottledError as error:
             raise _refuse_log(error, verdict.Verdict.NOT_RUN) from error
         except exception.LogError as error:
             raise _refuse_log(error, verdict.Verdict.MAY_HAVE_RUN) from error
@@ -120,9 +120,11 @@
         try:
             deadline = float(text)
         except ValueError as error:
-            raise http_web.refuse_input("X-Deadline must be epoch seconds.") from error
+            raise http_web.make_input_error(
+                "X-Deadline must be epoch seconds."
+            ) from error
         if deadline <= time.time():
-            raise http_web.refuse_input("X-Deadline has passed.", "deadline_passed")
+            raise http_web.make_input_error("X-Deadline has passed.", "deadline_passed")
         return deadline
 
     def _check_open_jobs(self):
@@ -335,7 +337,7 @@
                 "/peer/stop-job",
                 {"job": job.id, "owner": owner},
                 timeout_s=STOP_TIMEOUT_S,
-                fresh=True,
+                new_connection=True,
             )
         except exception.UnavailableError:
             return False
--- a/pimentowick/entry/listing.py
+++ b/pimentowick/entry/listing.py
@@ -38,7 +38,7 @@
 def _read_limit(handler):
     text = handler.get_query_argument("limit", str(LIST_LIMIT))
     if not text.isdigit() or not 1 <= int(text) <= MAX_LIST_LIMIT:
-        raise http_web.refuse_input(f"limit is from 1 to {MAX_LIST_LIMIT}.")
+        raise http_web.make_input_error(f"limit is from 1 to {MAX_LIST_LIMIT}.")
     return int(text)
 
 
--- a/pimentowick/entry/metered.py
+++ b/pimentowick/entry/metered.py
@@ -29,7 +29,7 @@
             first = await self._log.append(stream, records)
             outcome = "done"
             return first
-        except exception.LogFullError:
+        except exception.LogThrottledError:
             outcome = "full"
             raise
         except exception.ValidationError:
--- a/pimentowick/entry/online.py
+++ b/pimentowick/entry/online.py
@@ -34,9 +34,9 @@
     try:
         left = float(text) - time.time()
     except ValueError as error:
-        raise http_web.refuse_input("X-Deadline must be epoch seconds.") from error
+        raise http_web.make_input_error("X-Deadline must be epoch seconds.") from error
     if not left > 0:
-        raise http_web.refuse_input("X-Deadline has passed.", "deadline_passed")
+        raise http_web.make_input_error("X-Deadline has passed.", "deadline_passed")
     return min(left, limit_s)
 
 
@@ -80,7 +80,7 @@
                 async with asyncio.timeout(deadline_s + DEADLINE_MARGIN_S):
                     await self._answering
             except TimeoutError as error:
-                expired = verdict.make_expired(verdict.Verdict.MAY_HAVE_RUN)
+                expired = verdict.make_deadline_refusal(verdict.Verdict.MAY_HAVE_RUN)
                 raise exception.RefusedError(expired) from error
             except asyncio.CancelledError:
                 raise iostream.StreamClosedError from None
--- a/pimentowick/entry/order.py
+++ b/pimentowick/entry/order.py
@@ -43,7 +43,7 @@
 
     async def _carry_out(self, host):
         if host.role == "entry":
-            self.entry.stop_orders.drain()
+            self.entry.shutdown_requests.request_drain()
         else:
             await self._pass_on(host, "/drain", {})
 
@@ -60,7 +60,7 @@
             if name in (peer.name, peer.report.get("target")):
                 return peer.host
         known = ", ".join(sorted([*fleet.entries, *fleet.peers]))
-        raise http_web.refuse_input(
+        raise http_web.make_input_error(
             f"There is no host or target {name!r}. There are: {known}.", "unknown", 404
         )
 
@@ -90,7 +90,7 @@
                 )
             ) from error
         if not note.accepted:
-            raise http_web.refuse_input(f"{note.reason}.", "rejected")
+            raise http_web.make_input_error(f"{note.reason}.", "rejected")
 
     async def _pass_on(self, host, path, message):
         headers = {
@@ -105,7 +105,7 @@
                 message,
                 headers,
                 timeout_s=ORDER_TIMEOUT_S,
-                fresh=True,
+                new_connection=True,
             )
         except http_client.TransportError as error:
             raise exception.RefusedError(
@@ -147,5 +147,5 @@
         """
         found = shard.ledger.jobs.get(job_id)
         if found is None:
-            raise http_web.refuse_input("There is no such job.", "unknown_job", 404)
+            raise http_web.make_input_error("There is no such job.", "unknown_job", 404)
         return found
--- a/pimentowick/entry/tests/test_online.py
+++ b/pimentowick/entry/tests/test_online.py
@@ -415,7 +415,7 @@
         )
         await fleet.wait_for(lambda: entry.limits.running)
         await fleet.wait_for(lambda: not entry.limits.running, timeout_s=8.0)
-        await fleet.wait_for(lambda: not entry._server.count_busy())
+        await fleet.wait_for(lambda: not entry._server.count_active_requests())
         writer.close()
 
     run(check, entries=1, engines=1)
--- a/pimentowick/exception.py
+++ b/pimentowick/exception.py
@@ -3,7 +3,7 @@
 __all__ = [
     "ConflictError",
     "LogError",
-    "LogFullError",
+    "LogThrottledError",
     "LogTruncatedError",
     "LogUnavailableError",
     "PimentowickError",
@@ -42,7 +42,7 @@
     """The log gave no answer; an append may have taken effect."""
 
 
-class LogFullError(LogError):
+class LogThrottledError(LogError):
     """The log refused an append because of its rate; it had no effect."""
 
 
--- a/pimentowick/external/log.py
+++ b/pimentowick/external/log.py
@@ -46,7 +46,7 @@
             The offset of the first of them.
 
         Raises:
-            LogFullError: The log is over its rate; nothing was appended.
+            LogThrottledError: The log is over its rate; nothing was appended.
             LogUnavailableError: No answer came; the append may have happened, and
                 may even happen later.
         """
@@ -93,7 +93,7 @@
         except http_client.TransportError as error:
             raise exception.LogUnavailableError(str(error)) from error
         if answer.status == 429:
-            raise exception.LogFullError("The log is over its append rate.")
+            raise exception.LogThrottledError("The log is over its append rate.")
         if answer.status == 413:
             raise exception.ValidationError("A record is too large for the log.")
         if answer.status != 200:
--- a/pimentowick/external/service.py
+++ b/pimentowick/external/service.py
@@ -6,7 +6,7 @@
 from pimentowick import client as http_client
 from pimentowick import exception, verdict
 
-__all__ = ["HttpService", "Service", "ServiceAnswer", "ServiceCall"]
+__all__ = ["HttpService", "Service", "ServiceCall", "ServiceResponse"]
 
 # Headers that belong to one connection, or that the answer is framed with anew.
 HOP_HEADERS = frozenset(
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """The whole answer of a plain service."""
 
     status: int
@@ -52,7 +52,7 @@
 
     @abc.abstractmethod
     async def call(self, call):
-        """Return the `ServiceAnswer` to a `ServiceCall`.
+        """Return the `ServiceResponse` to a `ServiceCall`.
 
         Raises:
             RefusedError: No whole answer came; the refusal carries the verdict.
@@ -85,13 +85,13 @@
                 # service sends nothing while it works: the call would be lost, and
                 # that would show at its deadline only. The service is on this host,
                 # so that a connection costs little.
-                fresh=True,
+                new_connection=True,
             )
         except http_client.TransportError as error:
-            if error.expired:
+            if error.timed_out:
                 # A caller that allows little time is no sign of a lost service.
-                expired = verdict.make_expired(error.verdict)
-                raise exception.RefusedError(expired) from error
+                timed_out = verdict.make_deadline_refusal(error.verdict)
+                raise exception.RefusedError(timed_out) from error
             raise exception.RefusedError(
                 verdict.Refusal(
                     502, "target_lost", str(error), error.verdict, retry_after=1.0
@@ -102,4 +102,4 @@
             for name, value in answer.headers.items()
             if name.lower() not in HOP_HEADERS
         }
-        return ServiceAnswer(answer.status, kept, answer.body)
+        return ServiceResponse(answer.status, kept, answer.body)
--- a/pimentowick/gateway/policy/news_relay.py
+++ b/pimentowick/gateway/policy/news_relay.py
@@ -276,4 +276,4 @@
 
 
 def _weigh(entry):
-    return rendezvous.weigh(entry.failure_domain, entry.address)
+    return rendezvous.compute_weight(entry.failure_domain, entry.address)
--- a/pimentowick/gateway/policy/preemption.py
+++ b/pimentowick/gateway/policy/preemption.py
@@ -31,7 +31,7 @@
         return 0
     counts = dict(peers)
     counts[own] = target.batch
-    order = sorted(counts, key=lambda name: rendezvous.weigh(target.id, name))
+    order = sorted(counts, key=lambda name: rendezvous.compute_weight(target.id, name))
     for name in order:
         share = min(excess, counts[name])
         if name == own:
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -326,7 +326,9 @@
         if not self._sent:
             return await self._refuse("timeout_unsent")
         self._status = 504
-        await self._exchange.refuse(verdict.make_expired(verdict.Verdict.MAY_HAVE_RUN))
+        await self._exchange.refuse(
+            verdict.make_deadline_refusal(verdict.Verdict.MAY_HAVE_RUN)
+        )
         return "timeout"
 
     def _meets_objective(self, first_event_s, total_s):
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -88,7 +88,7 @@
     asked = gateway._peer_configuration
 
     async def fetch(*args, **kwargs):
-        return http_client.Answer(200, body, {})
+        return http_client.Response(200, body, {})
 
     asked._client.fetch = fetch
     return feed, asked
--- a/pimentowick/membership/fleet.py
+++ b/pimentowick/membership/fleet.py
@@ -354,7 +354,7 @@
             if peer.name in self._agents:
                 self._agents[peer.name].report = peer.report
         except http_client.TransportError:
-            self._client.distrust(peer.address)
+            self._client.retire_connections(peer.address)
             return False
         except exception.ValidationError as error:
             logger.warning(
--- a/pimentowick/membership/subset.py
+++ b/pimentowick/membership/subset.py
@@ -36,7 +36,7 @@
         entry: Name of the entry.
         agent: Name of the agent.
     """
-    return rendezvous.weigh(entry, agent)
+    return rendezvous.compute_weight(entry, agent)
 
 
 def compute_subset_size(configured, agents, entries):
--- a/pimentowick/membership/tests/test_fleet.py
+++ b/pimentowick/membership/tests/test_fleet.py
@@ -46,9 +46,9 @@
             answer.update(process="p", kind="engine", service=service)
         if "renew" in body:
             answer["lease"] = body["renew"] or 7
-        return http_client.Answer(200, orjson.dumps(answer), {})
+        return http_client.Response(200, orjson.dumps(answer), {})
 
-    def distrust(self, address):
+    def retire_connections(self, address):
         pass
 
 
--- a/pimentowick/metrics.py
+++ b/pimentowick/metrics.py
@@ -166,7 +166,7 @@
         """Count a checkpoint that was written whole."""
         self._checkpoints.inc({})
 
-    def count_carried(self, number):
+    def count_reappended(self, number):
         """Count records that were appended again."""
         self._carried.add({}, number)
 
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -343,7 +343,7 @@
         stream = self._client.open_stream(
             "GET", self.address, target, timeout_s=LONGEST_READ_S, idle_s=silent_s
         )
-        return await stream.read_rest()
+        return await stream.read_response()
 
     def _check(self, answer):
         if answer.status == 200:
--- a/pimentowick/rendezvous.py
+++ b/pimentowick/rendezvous.py
@@ -7,18 +7,19 @@
 
 import hashlib
 
-__all__ = ["weigh"]
+__all__ = ["compute_weight"]
 
 DIGEST_BYTES = 8
 
 
-def weigh(key, name):
+def compute_weight(key, name):
     """Return the weight of `name` for `key`; the heaviest name comes first.
 
     A name that goes moves only the keys that it was first for.
 
     Examples:
-        >>> weigh(7, "a") == weigh(7, "a"), weigh(7, "a") == weigh(8, "a")
+        >>> weight = compute_weight(7, "a")
+        >>> compute_weight(7, "a") == weight, compute_weight(8, "a") == weight
         (True, False)
     """
     data = f"{key}/{name}".encode()
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -265,7 +265,7 @@
         so seeing the last one proves that the append took place.
 
         Raises:
-            LogFullError: The log refused; nothing was appended.
+            LogThrottledError: The log refused; nothing was appended.
             LogUnavailableError: It is not known whether the append took place.
         """
         for record in records:
--- a/pimentowick/replication/tests/memory.py
+++ b/pimentowick/replication/tests/memory.py
@@ -36,7 +36,7 @@
         try:
             first, _ = self.kept.append(stream, records)
         except fake_log.RateError as error:
-            raise exception.LogFullError(str(error)) from error
+            raise exception.LogThrottledError(str(error)) from error
         if self.lose_answers:
             self.lose_answers -= 1
             raise exception.LogUnavailableError("no answer")
--- a/pimentowick/routing/attempt.py
+++ b/pimentowick/routing/attempt.py
@@ -26,7 +26,7 @@
     }
 
 
-async def read_frames(client, peer, message, idle_s, fresh=False):
+async def read_frames(client, peer, message, idle_s, new_connection=False):
     """Send `message` to the agent of `peer` and yield lists of response frames.
 
     Frames received together are yielded together. The last frame of the last list is
@@ -38,7 +38,7 @@
         message: Dictionary with the envelope and the request's payload.
         idle_s: Maximum time without received data, in seconds. Agents send keep-alive
             lines, so a longer silence means that the connection or the agent failed.
-        fresh: Whether to use a new connection.
+        new_connection: Whether to use a new connection.
 
     Raises:
         RefusedError: The response is missing or incomplete. The verdict of the refusal
@@ -53,7 +53,7 @@
         message,
         timeout_s=envelope["deadline_s"],
         idle_s=idle_s,
-        fresh=fresh,
+        new_connection=new_connection,
     )
     ended = False
     try:
@@ -109,9 +109,9 @@
 
 
 def _make_loss_refusal(peer, error):
-    if error.expired:
-        return verdict.make_expired(error.verdict)
-    code = "agent_silent" if error.silent else "agent_lost"
+    if error.timed_out:
+        return verdict.make_deadline_refusal(error.verdict)
+    code = "agent_silent" if error.stalled else "agent_lost"
     return verdict.Refusal(
         502,
         code,
--- a/pimentowick/routing/router.py
+++ b/pimentowick/routing/router.py
@@ -157,7 +157,7 @@
                 self._settings.idle_s,
                 # A pooled connection may be stale. Requests that cannot be retried,
                 # and retries themselves, use a new one.
-                fresh=request.attempts > 1 or not request.idempotent,
+                new_connection=request.attempts > 1 or not request.idempotent,
             )
             async with contextlib.aclosing(frame_stream) as answer:
                 async for frames in answer:
@@ -169,7 +169,7 @@
     def _check_deadline(self, request):
         if time.monotonic() >= request.deadline:
             combined = verdict.combine(request.verdicts)
-            raise exception.RefusedError(verdict.make_expired(combined))
+            raise exception.RefusedError(verdict.make_deadline_refusal(combined))
 
     def _choose_peer(self, request):
         pool = self._fleet.get_pool(request.service, request.kind)
--- a/pimentowick/tests/test_client.py
+++ b/pimentowick/tests/test_client.py
@@ -166,7 +166,7 @@
             stream = client.open_stream("GET", peer.address, "/", idle_s=0.4)
             with pytest.raises(http_client.TransportError) as caught:
                 await stream.read_lines()
-            assert caught.value.silent
+            assert caught.value.stalled
             assert caught.value.verdict is verdict.Verdict.MAY_HAVE_RUN
 
     asyncio.run(check())
@@ -185,7 +185,7 @@
             await peer.wait_for(lambda: peer.requests)
             error = await fail(client, peer.address, timeout_s=0.1)
             assert error.verdict is verdict.Verdict.NOT_RUN
-            assert client.peak_waiting == 1
+            assert client.peak_queued == 1
             stream.abort()
             assert peer.requests == [0]
 
@@ -203,7 +203,7 @@
         async with start_peer("answer") as (peer, client):
             fetches = [client.fetch("GET", peer.address, "/") for _ in range(3)]
             await asyncio.gather(*fetches)
-            client.distrust(peer.address)
+            client.retire_connections(peer.address)
             old = peer.opened
             since = time.monotonic()
             while time.monotonic() - since < OLD_S:
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -52,9 +52,9 @@
         """Return how often an online request had to wait, by place."""
         entries = self.fleet.entries.values()
         return {
-            "handles of entries": sum(e._online_client.peak_waiting for e in entries),
+            "handles of entries": sum(e._online_client.peak_queued for e in entries),
             "handles of agents": sum(
-                agent._client.peak_waiting for agent in self.fleet.agents.values()
+                agent._client.peak_queued for agent in self.fleet.agents.values()
             ),
             "queues of agents": self.queued,
             "places of engines": sum(
--- a/pimentowick/tests/test_pages.py
+++ b/pimentowick/tests/test_pages.py
@@ -119,7 +119,7 @@
         if name == "Refusal" and len(values) > 1 and isinstance(values[1], str):
             if values[0] is not None:
                 found.add((values[1], str(values[0])))
-        elif name == "refuse_input" and len(values) > 1:
+        elif name == "make_input_error" and len(values) > 1:
             found.add((values[1], str(values[2] if len(values) > 2 else 400)))
     return found
 
--- a/pimentowick/tests/test_tls.py
+++ b/pimentowick/tests/test_tls.py
@@ -133,7 +133,7 @@
             for path in ("/work", "/heartbeat", "/drain", "/health"):
                 with pytest.raises(http_client.TransportError):
                     await fetch_with(refused, agent, path, "POST")
-        assert not fleet.agents["agent-lm-0"].stop_orders.begun
+        assert not fleet.agents["agent-lm-0"].shutdown_requests.requested
         assert (await fetch_with(peer, agent, "/ready")).status == 200
         assert (await fetch_with(caller, entry, "/health")).status == 200
         assert (await fetch_with(peer, entry, "/peer/version")).status == 200
--- a/pimentowick/verdict.py
+++ b/pimentowick/verdict.py
@@ -4,7 +4,7 @@
 import enum
 import math
 
-__all__ = ["Refusal", "Verdict", "combine", "make_expired"]
+__all__ = ["Refusal", "Verdict", "combine", "make_deadline_refusal"]
 
 # A request that came too late for its own deadline may come again at once.
 EXPIRED_RETRY_AFTER_S = 1.0
@@ -82,7 +82,7 @@
         return {"Retry-After": str(max(1, math.ceil(self.retry_after)))}
 
 
-def make_expired(found):
+def make_deadline_refusal(found):
     """Return the refusal of a request whose deadline has passed.
 
     Args:
--- a/pimentowick/web.py
+++ b/pimentowick/web.py
@@ -15,7 +15,7 @@
     "JsonHandler",
     "Server",
     "UnknownPathHandler",
-    "refuse_input",
+    "make_input_error",
 ]
 
 MAX_HEADER_BYTES = 32_768
@@ -59,9 +59,9 @@
         try:
             data = orjson.loads(self.request.body)
         except ValueError as error:
-            raise refuse_input(f"The body is not JSON: {error}.") from error
+            raise make_input_error(f"The body is not JSON: {error}.") from error
         if not isinstance(data, dict):
-            raise refuse_input("The body must be a JSON object.")
+            raise make_input_error("The body must be a JSON object.")
         return data
 
     def log_exception(self, typ, value, tb):
@@ -109,7 +109,7 @@
     )
 
 
-def refuse_input(message, code="bad_request", status=400):
+def make_input_error(message, code="bad_request", status=400):
     """Return the error for input that a caller has to change."""
     return exception.RefusedError(verdict.Refusal(status, code, message))
 
@@ -275,7 +275,7 @@
         """Take no new connection; those that are open go on."""
         self._server.stop()
 
-    def count_busy(self):
+    def count_active_requests(self):
         """Return how many requests are not answered to the last byte."""
         return 0 if self._server is None else len(self._server.busy)
 
@@ -293,9 +293,9 @@
         # A connection that was just taken has a request on its way.
         while time.monotonic() < min(deadline, busy_at + QUIET_S):
             await asyncio.sleep(DRAIN_CHECK_S)
-            if self.count_busy():
+            if self.count_active_requests():
                 busy_at = time.monotonic()
-        return self.count_busy()
+        return self.count_active_requests()
 
     async def close(self):
         """Close all connections."""
