--- a/pimentowick/__init__.py
+++ b/pimentowick/__init__.py
@@ -1,8 +1,9 @@
 """Online and batch inference on one shared fleet.
 
-The package holds the coordination parts as a library, and two thin daemons
-made from them: `pimentowick.entry` takes requests from callers and operators,
-`pimentowick.agent` stands beside each target and is the only way to it.
+The package provides the coordination components as a library, and two daemons built
+from them: `pimentowick.entry` receives the requests of callers and operators, and
+`pimentowick.agent` runs beside each target as a proxy through which all requests to
+the target pass.
 """
 
 __all__ = ["__version__"]
--- a/pimentowick/client.py
+++ b/pimentowick/client.py
@@ -1,12 +1,14 @@
-"""HTTP requests with a verdict, and streams of JSON lines.
-
-All requests of the package to other processes pass through `Client`, which adds
-three things to tornado's curl client. It knows whether any byte of a request can
-have left, so that a failure carries a true verdict. It lets libcurl send a request
-once only: libcurl repeats a request by itself when a pooled connection closes
-before the first byte of the answer, and the peer may have run it by then. And it
-stops reusing the connections to a peer after one of them fell silent, since
-whatever lost track of one connection usually lost the others of that age, too.
+"""HTTP client with at-most-once requests, and streams of JSON lines.
+
+All requests of the package to other processes are sent by `Client`, which extends
+tornado's curl client in three ways:
+
+- It records whether any byte of a request may have been sent, so that an error states
+  whether the peer may have executed the request.
+- It prevents libcurl from resending a request when a pooled connection closes before
+  the first byte of the response, as the peer may have executed it already.
+- After a timeout it stops reusing the open connections to that peer. A fault that
+  breaks one connection, such as lost NAT state, usually breaks the others as well.
 """
 
 import asyncio
@@ -24,29 +26,29 @@
 
 DEFAULT_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 1.0
-# libcurl's own timeout comes first wherever the request has left, since its error
-# says more.
+# Delay of the client's own timeout after libcurl's, whose error is more specific.
 TIMEOUT_MARGIN_S = 0.2
-# A peer that has sent the end of its answer but never closes the exchange would
-# keep a handle of the pool; libcurl ends such a transfer after this.
-LOW_SPEED_BYTES = 1
+# Minimum rate of a stream in bytes per second. libcurl aborts a transfer below it, for
+# instance if the peer never completes the response, so that the handle is freed.
+LOW_SPEED_BYTES_PER_S = 1
+# Delay of libcurl's abort after the idle timeout of the stream.
 LOW_SPEED_MARGIN_S = 2
 BUFFER_BYTES = 16_384
 MAX_IDLE_CONNECTION_S = 60
-# A stream's silence is measured in so many parts; one that ends late because this
-# process had no processor time counts no more than the others.
-IDLE_PARTS = 4
-MAX_DISTRUSTED = 10_000
+# Number of intervals into which the idle timeout of a stream is divided.
+IDLE_INTERVALS = 4
+MAX_RETIRED_ADDRESSES = 10_000
 
 
 class TransportError(exception.UnavailableError):
-    """A request got no whole answer.
+    """A request received no complete response.
 
     Attributes:
-        verdict: Whether the request may have run at the peer.
-        stalled: Whether a stream was open but nothing came for its idle time.
-        timed_out: Whether the time that the request was given is over; the peer may
-            be well.
+        verdict: Whether the peer may have executed the request.
+        stalled: Whether the request was sent and then no data was received for the
+            idle timeout.
+        timed_out: Whether the timeout of the request expired; this does not imply a
+            failure of the peer.
     """
 
     def __init__(self, message, verdict, stalled=False, timed_out=False):
@@ -58,14 +60,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer to one request."""
+    """A complete response to one request."""
 
     status: int
     body: bytes
     headers: dict
 
     def decode(self):
-        """Return the body as JSON data.
+        """Return the decoded JSON body.
 
         Raises:
             ValidationError: If the body is not JSON.
@@ -77,56 +79,58 @@
 
 
 class _Transfer:
-    """What libcurl's callbacks note about one request."""
+    """Send state of one request, updated by libcurl's callbacks."""
 
     def __init__(self):
         self.sent = False
         self.aborted = False
 
     def allow_send(self, *addresses):
-        """Let the request leave, unless it has left before."""
+        """Allow libcurl to send the request, but only once."""
         if self.sent or self.aborted:
             return pycurl.PREREQFUNC_ABORT
         self.sent = True
         return pycurl.PREREQFUNC_OK
 
     def get_verdict(self):
-        """Return what is known while no whole answer came."""
+        """Return the verdict on a request without a complete response."""
         if self.sent:
             return verdict.Verdict.MAY_HAVE_RUN
         return verdict.Verdict.NOT_RUN
 
 
 class _CurlClient(curl_httpclient.CurlAsyncHTTPClient):
-    """Tornado's client, with requests that can be aborted.
+    """Tornado's client with support for aborting requests.
 
-    Tornado lets an abandoned request go on until it ends by itself. On a silent
-    connection that is the time limit, and until then the request keeps its handle:
-    with enough of them the pool is empty and new requests wait unseen.
+    Tornado continues a request after its caller was cancelled, until it completes or
+    times out, and the request keeps its handle. Enough such requests exhaust the pool.
 
-    Handles are made when they are needed: hundreds that never ran take megabytes.
+    Handles are created on demand, as each one allocates buffers.
     """
 
     def initialize(self, max_clients=10, **settings):
-        """Take the settings; see `tornado.httpclient.AsyncHTTPClient`."""
+        """Initialize the client; see `tornado.httpclient.AsyncHTTPClient`."""
         super().initialize(max_clients=0, **settings)
-        self._max_handles = max_clients
+        self._handle_limit = max_clients
 
     def _process_queue(self):
-        wanted = min(len(self._requests), self._max_handles)
-        while len(self._free_list) < wanted and len(self._curls) < self._max_handles:
+        handles_needed = min(len(self._requests), self._handle_limit)
+        while (
+            len(self._free_list) < handles_needed
+            and len(self._curls) < self._handle_limit
+        ):
             curl = self._curl_create()
             self._curls.append(curl)
             self._free_list.append(curl)
         super()._process_queue()
 
     @property
-    def waiting(self):
-        """Number of requests that wait for a handle."""
+    def queue_length(self):
+        """Number of requests waiting for a handle."""
         return len(self._requests)
 
     def abort(self, request):
-        """End a request now and close its connection; unknown ones are let be."""
+        """Abort a request and close its connection; does nothing if it is unknown."""
         if self._multi is None:
             return
         for curl in self._curls:
@@ -135,35 +139,35 @@
                 self._finish(curl, pycurl.E_ABORTED_BY_CALLBACK, "aborted")
                 self._process_queue()
                 return
-        self._drop_waiting(request)
+        self._remove_queued(request)
 
-    def _drop_waiting(self, request):
-        for entry in list(self._requests):
-            if entry[0].request is request:
-                self._requests.remove(entry)
+    def _remove_queued(self, request):
+        for queued in list(self._requests):
+            if queued[0].request is request:
+                self._requests.remove(queued)
                 error = curl_httpclient.CurlError(
                     pycurl.E_ABORTED_BY_CALLBACK, "aborted"
                 )
-                entry[1](httpclient.HTTPResponse(request, 599, error=error))
+                queued[1](httpclient.HTTPResponse(request, 599, error=error))
 
     def _handle_timeout(self):
-        # The timer may fire once more after the client is closed.
+        # The timer may fire once more after the client has been closed.
         if self._multi is not None:
             super()._handle_timeout()
 
 
 class Client:
-    """A pool of connections for one class of traffic.
+    """Connection pool for one class of traffic.
 
-    Online traffic, batch traffic and control each have a client of their own, so
-    that none waits in the queue of another one.
+    Online, batch and control traffic use separate clients, which avoids head-of-line
+    blocking between them.
 
     Args:
-        max_connections: How many requests may be open at once.
-        tls: `pimentowick.tls.ClientTls` for encrypted peers, or None.
+        max_connections: Maximum number of concurrent requests.
+        tls: `pimentowick.tls.ClientTls` for encrypted connections, or None.
 
     Attributes:
-        peak_queued: Most requests that waited for a free connection at once.
+        peak_queued: Maximum number of requests that were queued at the same time.
     """
 
     def __init__(self, max_connections=64, tls=None):
@@ -171,23 +175,23 @@
         self.peak_queued = 0
         self._tls = tls
         self._curl = None
-        self._distrusted = {}
+        self._retired_at = {}
 
     async def start(self):
-        """Make the pool."""
+        """Create the connection pool."""
         self._curl = _CurlClient(force_instance=True, max_clients=self.max_connections)
 
     async def close(self):
-        """Drop all connections."""
+        """Close all connections."""
         if self._curl is not None:
             self._curl.close()
             self._curl = None
 
     def retire_connections(self, address):
-        """Stop reusing the connections to `address` that are open now."""
-        if len(self._distrusted) >= MAX_DISTRUSTED:
-            self._distrusted.pop(next(iter(self._distrusted)))
-        self._distrusted[address] = time.monotonic()
+        """Stop reusing the currently open connections to `address`."""
+        if len(self._retired_at) >= MAX_RETIRED_ADDRESSES:
+            self._retired_at.pop(next(iter(self._retired_at)))
+        self._retired_at[address] = time.monotonic()
 
     async def fetch(
         self,
@@ -199,37 +203,37 @@
         timeout_s=DEFAULT_TIMEOUT_S,
         new_connection=False,
     ):
-        """Send one request and return its whole answer.
+        """Send one request and return the complete `Response`.
 
         Args:
             method: HTTP method.
             address: ``IP:port`` of the peer.
             path: Path and query.
-            body: Bytes, or data to send as JSON, or None.
+            body: Bytes, data to encode as JSON, or None.
             headers: Dictionary of headers.
-            timeout_s: Bound of the whole exchange, in seconds.
-            new_connection: Whether to use a new connection.
+            timeout_s: Timeout of the whole exchange, in seconds.
+            new_connection: Whether to open a new connection instead of reusing one.
 
         Raises:
-            TransportError: If no whole answer came.
+            TransportError: If no complete response was received.
         """
         transfer = _Transfer()
-        request = self._build(
+        request = self._build_request(
             transfer, method, address, path, body, headers, timeout_s, new_connection
         )
         task = self._send(request)
         try:
-            # libcurl counts the time from when the request got a handle of the
-            # pool; the caller's time runs while it waits for one, too.
+            # libcurl's timeout does not include the time that the request waits for a
+            # handle, so the whole exchange is bounded here.
             async with asyncio.timeout(timeout_s + TIMEOUT_MARGIN_S):
                 response = await asyncio.shield(task)
         except httpclient.HTTPError as error:
-            found = self._explain(transfer, address, error)
-            if found.timed_out:
-                # The peer may be slow or the connection dead; nothing tells which,
-                # and a new connection costs little.
+            failure = self._make_error(transfer, address, error)
+            if failure.timed_out:
+                # A slow peer can't be told from a broken connection, and a new
+                # connection is cheap.
                 self.retire_connections(address)
-            raise found from error
+            raise failure from error
         except TimeoutError as error:
             raise TransportError(
                 f"No free connection to {address} in time.",
@@ -243,15 +247,15 @@
 
     def _send(self, request):
         task = asyncio.ensure_future(self._curl.fetch(request, raise_error=False))
-        # An aborted request ends with an error that nobody waits for.
+        # Retrieve the exception of an aborted request, which is not awaited.
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
-        self.peak_queued = max(self.peak_queued, self._curl.waiting)
+        self.peak_queued = max(self.peak_queued, self._curl.queue_length)
         return task
 
     def _abort(self, transfer, request):
         transfer.aborted = True
-        # Not from here: this may run within a callback of libcurl, which must not
-        # be asked to drop the very transfer that it is working on.
+        # Deferred because this may run in a callback of libcurl, from which its
+        # transfer must not be removed.
         asyncio.get_running_loop().call_soon(self._curl.abort, request)
 
     def open_stream(
@@ -265,20 +269,20 @@
         idle_s=5.0,
         new_connection=False,
     ):
-        """Send one request and return the `Stream` of its answer.
+        """Send one request and return the `Stream` of its response.
 
         Args:
             method: HTTP method.
             address: ``IP:port`` of the peer.
             path: Path and query.
-            body: Bytes, or data to send as JSON, or None.
+            body: Bytes, data to encode as JSON, or None.
             headers: Dictionary of headers.
-            timeout_s: Bound of the whole exchange, in seconds.
-            idle_s: Longest time without a byte, in seconds.
-            new_connection: Whether to use a new connection.
+            timeout_s: Timeout of the whole exchange, in seconds.
+            idle_s: Maximum time without received data, in seconds.
+            new_connection: Whether to open a new connection instead of reusing one.
         """
         stream = Stream(self, address, idle_s)
-        request = self._build(
+        request = self._build_request(
             stream.transfer,
             method,
             address,
@@ -292,7 +296,7 @@
         stream.start(self._send(request), request)
         return stream
 
-    def _build(
+    def _build_request(
         self,
         transfer,
         method,
@@ -309,10 +313,10 @@
         if body is None and method in ("POST", "PUT", "PATCH"):
             body = b""
         scheme = "http" if self._tls is None else "https"
-        distrusted_at = self._distrusted.get(address)
+        retired_at = self._retired_at.get(address)
 
-        def prepare(curl):
-            _apply_options(curl, transfer, new_connection, distrusted_at)
+        def configure(curl):
+            _apply_options(curl, transfer, new_connection, retired_at)
             if self._tls is not None:
                 self._tls.apply(curl)
             if stream is not None:
@@ -327,12 +331,12 @@
             request_timeout=max(timeout_s, 0.001),
             follow_redirects=False,
             decompress_response=False,
-            prepare_curl_callback=prepare,
+            prepare_curl_callback=configure,
         )
 
-    def _explain(self, transfer, address, error):
-        number = getattr(error, "errno", None)
-        timed_out = transfer.sent and number == pycurl.E_OPERATION_TIMEDOUT
+    def _make_error(self, transfer, address, error):
+        error_code = getattr(error, "errno", None)
+        timed_out = transfer.sent and error_code == pycurl.E_OPERATION_TIMEDOUT
         return TransportError(
             f"No answer from {address}: {error}.",
             transfer.get_verdict(),
@@ -340,11 +344,11 @@
         )
 
 
-def _apply_options(curl, transfer, new_connection, distrusted_at):
-    # Handles are used again, so every option is set for every request.
+def _apply_options(curl, transfer, new_connection, retired_at):
+    # Handles are reused, so every option is set for every request.
     curl.setopt(pycurl.NOPROXY, "*")
-    # One buffer of each kind stays with every handle; the defaults of 64 KB for what
-    # is sent are most of what a hundred streams hold.
+    # Each handle keeps its buffers; the default upload buffer of 64 KiB would dominate
+    # the memory used per stream.
     curl.setopt(pycurl.UPLOAD_BUFFERSIZE, BUFFER_BYTES)
     curl.setopt(pycurl.BUFFERSIZE, BUFFER_BYTES)
     curl.setopt(pycurl.PREREQFUNCTION, transfer.allow_send)
@@ -352,18 +356,18 @@
     curl.setopt(pycurl.LOW_SPEED_LIMIT, 0)
     curl.setopt(pycurl.LOW_SPEED_TIME, 0)
     lifetime = 0
-    if distrusted_at is not None:
-        lifetime = int(time.monotonic() - distrusted_at)
+    if retired_at is not None:
+        lifetime = int(time.monotonic() - retired_at)
         new_connection = new_connection or lifetime == 0
     curl.setopt(pycurl.MAXLIFETIME_CONN, lifetime)
     curl.setopt(pycurl.FRESH_CONNECT, 1 if new_connection else 0)
 
 
 class Stream:
-    """The lines of an answer, as they arrive.
+    """Response that is read line by line while it is received.
 
-    Lines that arrive together are returned together, so that a relay pays for one
-    wake-up and one write instead of one for each line.
+    Lines received together are returned together, so that a proxy needs one wake-up
+    and one write for all of them.
     """
 
     def __init__(self, client, address, idle_s):
@@ -374,71 +378,71 @@
         self.task = None
         self._client = client
         self._request = None
-        self._pieces = []
-        self._rest = b""
-        self._arrived = asyncio.Event()
+        self._chunks = []
+        self._partial_line = b""
+        self._received = asyncio.Event()
 
     def start(self, task, request):
-        """Take the task that sends the request."""
+        """Attach the task that sends the request."""
         self.task = task
         self._request = request
         task.add_done_callback(self._finish)
 
     def attach(self, curl):
-        """Direct the answer of the handle to this stream."""
+        """Configure a curl handle to write the response to this stream."""
         curl.setopt(pycurl.WRITEFUNCTION, self._write)
-        curl.setopt(pycurl.LOW_SPEED_LIMIT, LOW_SPEED_BYTES)
+        curl.setopt(pycurl.LOW_SPEED_LIMIT, LOW_SPEED_BYTES_PER_S)
         curl.setopt(pycurl.LOW_SPEED_TIME, int(self.idle_s) + LOW_SPEED_MARGIN_S)
 
-    def _write(self, piece):
+    def _write(self, chunk):
         if self.transfer.aborted:
             return 0
-        self._pieces.append(piece)
-        self._arrived.set()
-        return len(piece)
+        self._chunks.append(chunk)
+        self._received.set()
+        return len(chunk)
 
     def _finish(self, task):
         if not task.cancelled() and task.exception() is None:
             self.status = task.result().code
-        self._arrived.set()
+        self._received.set()
 
     async def read_lines(self):
-        """Return the lines that came since the last call, waiting for one.
+        """Return the lines received since the last call; wait for at least one.
 
         Returns:
-            A list of byte strings; empty at the end of the answer.
+            A list of byte strings, empty at the end of the response.
 
         Raises:
-            TransportError: If the answer broke off, or nothing came for too long.
+            TransportError: If the response was truncated or the stream timed out.
         """
         while True:
             lines = self._take_lines()
             if lines:
                 return lines
             if self.task.done():
-                return self._take_end()
-            self._arrived.clear()
-            if not await self._wait_for_more():
+                return self._finish_lines()
+            self._received.clear()
+            if not await self._wait_for_data():
                 self.abort()
-                raise self._explain_silence()
+                raise self._make_stall_error()
 
-    async def _wait_for_more(self):
-        """Return whether something came within the idle time.
+    async def _wait_for_data(self):
+        """Return whether data was received within the idle timeout.
 
-        The time is that in which this process runs. On a host without processor time
-        to spare it may stand still for a second; its timers are due then, and what
-        the peer sent meanwhile is still to be read.
+        The timeout is split into several waits. If this process is not scheduled for a
+        while, only the current wait expires, and data that arrived in the meantime is
+        read during the next one.
         """
-        for _ in range(IDLE_PARTS):
+        for _ in range(IDLE_INTERVALS):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self.idle_s / IDLE_PARTS):
-                    await self._arrived.wait()
-            if self._arrived.is_set():
+                async with asyncio.timeout(self.idle_s / IDLE_INTERVALS):
+                    await self._received.wait()
+            if self._received.is_set():
                 return True
         return False
 
-    def _explain_silence(self):
-        # A request that still waited for a connection says nothing about the peer.
+    def _make_stall_error(self):
+        # A request still queued for a connection does not indicate a stalled peer.
         stalled = self.transfer.sent
         if stalled:
             self._client.retire_connections(self.address)
@@ -449,50 +453,51 @@
         )
 
     async def read_response(self):
-        """Return the rest of the answer as a `Response`, however long it takes.
+        """Return the remainder of the response as a `Response`.
 
-        An answer that keeps arriving over a slow link is no reason to give up.
+        Only the idle timeout applies, so that a large response over a slow link can
+        complete.
 
         Raises:
-            TransportError: If the answer broke off, or nothing came for too long.
+            TransportError: If the response was truncated or the stream timed out.
         """
         try:
             while not self.task.done():
-                self._arrived.clear()
-                if not await self._wait_for_more():
-                    raise self._explain_silence()
+                self._received.clear()
+                if not await self._wait_for_data():
+                    raise self._make_stall_error()
         finally:
             self.abort()
         error = self.task.exception()
         if error is not None:
-            raise self._client._explain(self.transfer, self.address, error)
+            raise self._client._make_error(self.transfer, self.address, error)
         response = self.task.result()
-        return Response(response.code, b"".join(self._pieces), response.headers)
+        return Response(response.code, b"".join(self._chunks), response.headers)
 
     def _take_lines(self):
-        if not self._pieces:
+        if not self._chunks:
             return []
-        data = self._rest + b"".join(self._pieces)
-        self._pieces.clear()
+        data = self._partial_line + b"".join(self._chunks)
+        self._chunks.clear()
         lines = data.split(b"\n")
-        self._rest = lines.pop()
+        self._partial_line = lines.pop()
         return [line for line in lines if line]
 
-    def _take_end(self):
+    def _finish_lines(self):
         error = self.task.exception()
         if error is not None:
-            raise self._client._explain(self.transfer, self.address, error)
+            raise self._client._make_error(self.transfer, self.address, error)
         self.status = self.task.result().code
-        rest, self._rest = self._rest, b""
-        if rest and self.status == 200:
+        remainder, self._partial_line = self._partial_line, b""
+        if remainder and self.status == 200:
             raise TransportError(
                 f"The answer of {self.address} broke off.",
                 verdict.Verdict.MAY_HAVE_RUN,
             )
-        # An error has a body that need not be made of lines.
-        return [rest] if rest else []
+        # The body of an error response need not end with a newline.
+        return [remainder] if remainder else []
 
     def abort(self):
-        """End the transfer and close its connection; may be called twice."""
+        """Abort the transfer and close its connection; idempotent."""
         if not self.transfer.aborted and not self.task.done():
             self._client._abort(self.transfer, self._request)
--- a/pimentowick/completion.py
+++ b/pimentowick/completion.py
@@ -1,4 +1,4 @@
-"""The bodies of completions, as OpenAI's clients write and read them."""
+"""Request and response bodies of OpenAI-compatible completions."""
 
 import time
 
@@ -20,17 +20,17 @@
 DEFAULT_MAX_TOKENS = 64
 
 
-class _Part(pydantic.BaseModel):
+class _ContentPart(pydantic.BaseModel):
     type: str
     text: str | None = None
 
 
 class _Message(pydantic.BaseModel):
     role: str
-    content: str | list[_Part] | None = None
+    content: str | list[_ContentPart] | None = None
 
 
-class _Body(pydantic.BaseModel):
+class _CompletionRequest(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="ignore")
 
     model: str = pydantic.Field(min_length=1)
@@ -43,32 +43,32 @@
 
 
 def parse_generation(data, workspace):
-    """Return model, adapter, prompt and max_tokens of a request's body.
+    """Return the model, adapter, prompt and max_tokens of a completion request.
 
     Args:
-        data: The body, a dictionary.
+        data: Decoded request body, a dictionary.
         workspace: `pimentowick.configuration.workspace.Workspace` of the caller.
 
     Raises:
-        RefusedError: The body is wrong, or asks for what the workspace hasn't got.
+        RefusedError: The body is invalid, or the workspace lacks the model or adapter.
     """
     try:
-        body = _Body.model_validate(data)
+        body = _CompletionRequest.model_validate(data)
     except pydantic.ValidationError as error:
         raise http_web.make_input_error(
             describe_validation_error(error) + "."
         ) from error
-    use = workspace.models.get(body.model)
-    if use is None:
-        raise _refuse_unknown("model", body.model, workspace.models)
-    if body.adapter is not None and body.adapter not in use.adapters:
-        raise _refuse_unknown("adapter", body.adapter, use.adapters)
-    wanted = body.max_tokens or body.max_completion_tokens
+    policy = workspace.models.get(body.model)
+    if policy is None:
+        raise _make_unknown_name_error("model", body.model, workspace.models)
+    if body.adapter is not None and body.adapter not in policy.adapters:
+        raise _make_unknown_name_error("adapter", body.adapter, policy.adapters)
+    requested_tokens = body.max_tokens or body.max_completion_tokens
     return {
         "model": body.model,
         "adapter": body.adapter,
         "prompt": _get_prompt(body),
-        "max_tokens": min(wanted or DEFAULT_MAX_TOKENS, use.max_tokens),
+        "max_tokens": min(requested_tokens or DEFAULT_MAX_TOKENS, policy.max_tokens),
     }
 
 
@@ -81,7 +81,7 @@
 
 
 def render_messages(messages):
-    """Return the prompt text of a list of messages."""
+    """Return the messages joined into one prompt, one line per message."""
     lines = []
     for message in messages:
         content = message.content or ""
@@ -91,7 +91,7 @@
     return "\n".join(lines)
 
 
-def _refuse_unknown(kind, name, known):
+def _make_unknown_name_error(kind, name, known):
     names = ", ".join(sorted(known)) or "none"
     return exception.RefusedError(
         verdict.Refusal(
@@ -103,13 +103,13 @@
 
 
 def describe_validation_error(error):
-    """Return the first fault of a pydantic error as one clause."""
-    fault = error.errors()[0]
-    place = ".".join(str(part) for part in fault["loc"])
-    return f"{place}: {fault['msg']}" if place else fault["msg"]
+    """Return the location and message of the first error in a pydantic error."""
+    first_error = error.errors()[0]
+    location = ".".join(str(part) for part in first_error["loc"])
+    return f"{location}: {first_error['msg']}" if location else first_error["msg"]
 
 
-def _make_base(request_id, model, kind):
+def _make_common_fields(request_id, model, kind):
     return {
         "id": request_id,
         "object": kind,
@@ -119,7 +119,7 @@
 
 
 def _make_usage(prompt, tokens):
-    # Only the engine's tokenizer knows; words are the nearest that is known here.
+    # Approximated by words, as the engine's tokenizer is not available here.
     prompt_tokens = len(prompt.split())
     return {
         "prompt_tokens": prompt_tokens,
@@ -129,8 +129,8 @@
 
 
 def make_chat_body(request_id, generation, text, finish_reason, tokens):
-    """Return the whole answer to a chat completion."""
-    body = _make_base(request_id, generation["model"], "chat.completion")
+    """Return the response body of a chat completion."""
+    body = _make_common_fields(request_id, generation["model"], "chat.completion")
     message = {"role": "assistant", "content": text}
     body["choices"] = [{"index": 0, "message": message, "finish_reason": finish_reason}]
     body["usage"] = _make_usage(generation["prompt"], tokens)
@@ -138,8 +138,8 @@
 
 
 def make_text_body(request_id, generation, text, finish_reason, tokens):
-    """Return the whole answer to a text completion."""
-    body = _make_base(request_id, generation["model"], "text_completion")
+    """Return the response body of a text completion."""
+    body = _make_common_fields(request_id, generation["model"], "text_completion")
     choice = {
         "index": 0,
         "text": text,
@@ -152,16 +152,16 @@
 
 
 def make_chat_chunk(request_id, generation, text, finish_reason=None):
-    """Return one event of a streamed chat completion."""
-    body = _make_base(request_id, generation["model"], "chat.completion.chunk")
+    """Return one chunk of a streamed chat completion."""
+    body = _make_common_fields(request_id, generation["model"], "chat.completion.chunk")
     delta = {"role": "assistant", "content": text} if text else {}
     body["choices"] = [{"index": 0, "delta": delta, "finish_reason": finish_reason}]
     return body
 
 
 def make_text_chunk(request_id, generation, text, finish_reason=None):
-    """Return one event of a streamed text completion."""
-    body = _make_base(request_id, generation["model"], "text_completion")
+    """Return one chunk of a streamed text completion."""
+    body = _make_common_fields(request_id, generation["model"], "text_completion")
     choice = {
         "index": 0,
         "text": text,
--- a/pimentowick/daemon.py
+++ b/pimentowick/daemon.py
@@ -1,4 +1,4 @@
-"""Running a daemon as a process: settings, signals, a graceful stop."""
+"""Process entry point of the daemons: settings, signals and graceful shutdown."""
 
 import asyncio
 import json
@@ -10,18 +10,18 @@
 
 __all__ = ["ShutdownRequests", "run_daemon"]
 
-EXIT_SETTINGS = 2
+SETTINGS_ERROR_STATUS = 2
 
 
 class ShutdownRequests:
-    """Signals and orders that stop a process.
+    """Shutdown requests received by a process as signals or over HTTP.
 
-    The first one makes it drain. A second signal makes it close at once; a second
-    order does nothing: an operator whose first order got no answer gives it again,
-    and that must not cut the requests that are being finished.
+    The first request starts draining. A second signal closes the process immediately.
+    Further HTTP requests are ignored, since an operator may retry one without
+    interrupting the drain.
 
     Attributes:
-        requested: Whether the process was told to stop.
+        requested: Whether a shutdown was requested.
 
     Examples:
         >>> async def example():
@@ -42,41 +42,42 @@
         self._queue = asyncio.Queue()
 
     def on_signal(self):
-        """Take a signal."""
+        """Record a shutdown signal."""
         self.requested = True
         self._queue.put_nowait(None)
 
     def request_drain(self):
-        """Take an order."""
+        """Record a drain request received over HTTP."""
         if not self.requested:
             self.on_signal()
 
     async def wait(self):
-        """Wait for the next one that counts."""
+        """Wait for the next request that has an effect."""
         await self._queue.get()
 
 
-def run_daemon(model, make, arguments):
-    """Run a daemon until it is told to stop.
+def run_daemon(model, make_daemon, arguments):
+    """Run a daemon until it is shut down.
 
-    The process prints one line with its address once it listens. SIGTERM and SIGINT
-    make it drain and close; a second one makes it close without waiting.
+    The process prints its address as a JSON line when it starts to listen. SIGTERM and
+    SIGINT start a graceful shutdown; a second signal closes it without draining.
 
     Args:
-        model: Class of its settings.
-        make: Function that makes the daemon from its settings. What its attribute
-            `shutdown_requests`, a `ShutdownRequests`, takes stops it as a signal does.
-        arguments: Command line without the program: the path of the settings file.
+        model: Class of the settings.
+        make_daemon: Function that returns the daemon for its settings. The daemon has a
+            `ShutdownRequests` as the attribute `shutdown_requests`.
+        arguments: Command-line arguments without the program name: the path of the
+            settings file.
     """
     if len(arguments) != 1:
         print("Give one argument: the path of a settings file.", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(SETTINGS_ERROR_STATUS)
     try:
         settings = process_settings.load_settings(model, arguments[0])
-        daemon = make(settings)
+        daemon = make_daemon(settings)
     except exception.SettingsError as error:
         print(error, file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(SETTINGS_ERROR_STATUS)
     logs.configure_logs(settings.log_level, settings.log_json)
     asyncio.run(_serve(daemon))
 
--- a/pimentowick/exception.py
+++ b/pimentowick/exception.py
@@ -1,4 +1,4 @@
-"""The exceptions that pimentowick raises, as one family."""
+"""Exceptions raised by pimentowick."""
 
 __all__ = [
     "ConflictError",
@@ -15,46 +15,46 @@
 
 
 class PimentowickError(Exception):
-    """Base class of all errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class SettingsError(PimentowickError):
-    """A settings file is wrong; the message names file, place and key."""
+    """A settings file is invalid; the message names the file, line and key."""
 
 
 class ValidationError(PimentowickError):
-    """Input from outside does not have the documented form."""
+    """Received data does not conform to the documented format."""
 
 
 class ConflictError(PimentowickError):
-    """Another change, or other content under the same key, came first."""
+    """A concurrent change, or different content with the same key, takes precedence."""
 
 
 class UnavailableError(PimentowickError):
-    """A peer or outside system did not answer in time."""
+    """A peer or an external system is unreachable or did not respond in time."""
 
 
 class LogError(PimentowickError):
-    """Base class of the errors of the platform's log."""
+    """Base class of the errors of the platform's log service."""
 
 
 class LogUnavailableError(LogError):
-    """The log gave no answer; an append may have taken effect."""
+    """The log service did not respond; an append may have taken effect."""
 
 
 class LogThrottledError(LogError):
-    """The log refused an append because of its rate; it had no effect."""
+    """The log service rejected an append due to its rate limit."""
 
 
 class LogTruncatedError(LogError):
-    """Records that a reader still needed have passed out of retention."""
+    """Records that a reader had not read yet were removed after their retention."""
 
 
 class RefusedError(PimentowickError):
-    """A request was refused or failed; carries the refusal.
+    """A request was rejected or failed.
 
     Attributes:
-        refusal: The `pimentowick.verdict.Refusal` to show to the caller.
+        refusal: `pimentowick.verdict.Refusal` to return to the caller.
     """
 
     def __init__(self, refusal):
--- a/pimentowick/logs.py
+++ b/pimentowick/logs.py
@@ -1,4 +1,4 @@
-"""Logging: short sentences with a fixed prefix for each part."""
+"""Logging configuration."""
 
 import sys
 
@@ -10,11 +10,11 @@
 
 
 def configure_logs(level="INFO", json_lines=False):
-    """Send the log to standard error.
+    """Log to standard error.
 
     Args:
-        level: Least level that is shown.
-        json_lines: Whether each line is a JSON object.
+        level: Minimum level of the logged messages.
+        json_lines: Whether to write each message as a JSON object.
     """
     logger.remove()
     logger.add(
@@ -22,7 +22,7 @@
         level=level,
         format=TEXT_FORMAT,
         serialize=json_lines,
-        # Values of local variables may hold tokens and prompts.
+        # Local variables may contain tokens and prompts.
         diagnose=False,
         backtrace=False,
     )
--- a/pimentowick/metrics.py
+++ b/pimentowick/metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of the daemons, in the Prometheus text format.
+"""Metrics of the daemons in the Prometheus text format.
 
-Units stand in the names. No label holds a workspace, a job or a request: their number
-is not bounded. Codes and verdicts are those of docs/API.md.
+Metric names contain the unit. Labels have bounded cardinality, so none contains a
+workspace, job or request. Codes and verdicts are those of docs/API.md.
 
-Counters are counted where something happens; what a daemon knows anyway is read when
-the metrics are asked for.
+Events are counted when they occur; values that the daemon keeps anyway are read when
+the metrics are scraped.
 """
 
 import time
@@ -15,7 +15,7 @@
 
 __all__ = ["AgentMetrics", "EntryMetrics", "MetricsHandler"]
 
-WAIT_BUCKETS_S = [0.001, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0]
+LATENCY_BUCKETS_S = [0.001, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0]
 
 
 class _Metrics:
@@ -30,15 +30,15 @@
 
     def _add_histogram(self, name, text):
         return aioprometheus.Histogram(
-            name, text, registry=self.registry, buckets=WAIT_BUCKETS_S
+            name, text, registry=self.registry, buckets=LATENCY_BUCKETS_S
         )
 
     def update(self, daemon):
-        """Read what `daemon` knows, just before it is shown."""
+        """Copy values from `daemon` into the metrics before they are exported."""
 
 
 class AgentMetrics(_Metrics):
-    """What an agent counts."""
+    """Metrics of an agent."""
 
     def __init__(self):
         super().__init__()
@@ -68,25 +68,25 @@
         )
 
     def count_admitted(self, priority, wait_s):
-        """Count a request that got a place after `wait_s` seconds."""
+        """Count a request that was admitted after waiting for `wait_s` seconds."""
         self._admitted.inc({"priority": priority})
         self._wait.add({"priority": priority}, wait_s)
 
     def count_resumed(self, wait_s):
-        """Count a preempted item that got a place again after `wait_s` seconds."""
+        """Count a preempted item that was readmitted after `wait_s` seconds."""
         self._resumed.inc({})
         self._wait.add({"priority": "preempted"}, wait_s)
 
     def count_answered(self, priority):
-        """Count a request that got a whole answer."""
+        """Count a request that received a complete response."""
         self._answered.inc({"priority": priority})
 
     def count_refused(self, code, verdict):
-        """Count a request that did not."""
+        """Count a request that received no complete response."""
         self._refused.inc({"code": code, "verdict": str(verdict)})
 
     def update(self, daemon):
-        """Read what the `pimentowick.agent.daemon.Agent` knows."""
+        """Copy values from a `pimentowick.agent.daemon.Agent` into the metrics."""
         admission = daemon.admission
         self._preempted.set({}, admission.preemptions)
         self._running.set({"priority": "online"}, len(admission.online))
@@ -95,7 +95,7 @@
 
 
 class EntryMetrics(_Metrics):
-    """What an entry counts."""
+    """Metrics of an entry."""
 
     def __init__(self):
         super().__init__()
@@ -125,7 +125,7 @@
             "Records appended again before the log drops them.",
         )
         self._add_log_metrics()
-        self._add_state()
+        self._add_state_metrics()
 
     def _add_log_metrics(self):
         self._appends = self._add_counter(
@@ -138,7 +138,7 @@
             "pimentowick_entry_log_append_seconds", "Time until an append was answered."
         )
 
-    def _add_state(self):
+    def _add_state_metrics(self):
         self._ejections = self._add_counter(
             "pimentowick_entry_ejections_total", "Agents that got no work for a while."
         )
@@ -163,19 +163,19 @@
         )
 
     def count_checkpoint(self):
-        """Count a checkpoint that was written whole."""
+        """Count a completely written checkpoint."""
         self._checkpoints.inc({})
 
     def count_reappended(self, number):
-        """Count records that were appended again."""
+        """Count records that were appended again before their retention ended."""
         self._carried.add({}, number)
 
     def count_request(self, outcome):
-        """Count an online request: ``answered`` or the code of its refusal."""
+        """Count an online request as ``answered`` or by the code of its refusal."""
         self._requests.inc({"outcome": outcome})
 
     def observe_answer(self, handler):
-        """Take notice of a finished request; see `tornado.web.Application`."""
+        """Record a finished request; a log function of `tornado.web.Application`."""
         labels = {"handler": type(handler).__name__}
         self._seconds.add(labels, handler.request.request_time())
         refusal = getattr(handler, "refusal", None)
@@ -184,28 +184,28 @@
             self._refusals.inc({"code": refusal.code, "verdict": verdict})
 
     def count_retry(self, code):
-        """Count a further attempt, by the code of the refusal before it."""
+        """Count a retry by the code of the previous attempt's refusal."""
         self._retries.inc({"code": code})
 
     def count_item(self, outcome):
-        """Count a batch item that ended."""
+        """Count a finished batch item by outcome."""
         self._items.inc({"outcome": outcome})
 
     def count_claim(self):
-        """Count a claim that came into force."""
+        """Count a shard claim of this entry that took effect."""
         self._claims.inc({})
 
     def count_append(self, outcome, wait_s):
-        """Count an append: ``done``, ``full``, ``too_large`` or ``unknown``."""
+        """Count an append as ``done``, ``full``, ``too_large`` or ``unknown``."""
         self._appends.inc({"outcome": outcome})
         self._append_wait.add({}, wait_s)
 
     def count_read(self, outcome):
-        """Count a read of the log: ``done`` or ``unavailable``."""
+        """Count a read of the log as ``done`` or ``unavailable``."""
         self._reads.inc({"outcome": outcome})
 
     def update(self, daemon):
-        """Read what the `pimentowick.entry.daemon.Entry` knows."""
+        """Copy values from a `pimentowick.entry.daemon.Entry` into the metrics."""
         owned = daemon.table.list_owned()
         followed = daemon.table.followed.values()
         self._ejections.set({}, daemon.fleet.ejections)
@@ -221,14 +221,14 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """Shows the metrics of a daemon."""
+    """Exports the metrics of a daemon."""
 
     def initialize(self, daemon):
-        """Take the daemon, whose ``metrics`` are shown."""
+        """Store the daemon whose ``metrics`` are exported."""
         self._daemon = daemon
 
     def get(self):
-        """Answer in the text format."""
+        """Respond with the metrics in the text format."""
         metrics = self._daemon.metrics
         metrics.update(self._daemon)
         content, headers = renderer.render(metrics.registry, ["text/plain"])
--- a/pimentowick/rendezvous.py
+++ b/pimentowick/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a ranking that everybody works out alike.
+"""Rendezvous (highest random weight) hashing.
 
 References:
     D. G. Thaler and C. V. Ravishankar, "Using name-based mappings to increase hit
@@ -13,9 +13,10 @@
 
 
 def compute_weight(key, name):
-    """Return the weight of `name` for `key`; the heaviest name comes first.
+    """Return the weight of `name` for `key`.
 
-    A name that goes moves only the keys that it was first for.
+    A key is assigned to the names in descending order of weight. Removing a name
+    reassigns only the keys for which it had the highest weight.
 
     Examples:
         >>> weight = compute_weight(7, "a")
--- a/pimentowick/settings.py
+++ b/pimentowick/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the daemons, in YAML, checked before anything starts."""
+"""Settings of the daemons, read from YAML files and validated at startup."""
 
 import pathlib
 
@@ -19,11 +19,11 @@
 ]
 
 
-class _Model(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class TlsSettings(_Model):
+class TlsSettings(_StrictModel):
     """Encryption between the system's own processes, and towards callers."""
 
     certificate: str = pydantic.Field(description="PEM file of the certificate.")
@@ -33,7 +33,7 @@
     )
 
 
-class PlatformSettings(_Model):
+class PlatformSettings(_StrictModel):
     """Where the platform's services are."""
 
     log: str = pydantic.Field(description="IP:port of the log service.")
@@ -58,7 +58,7 @@
     )
 
 
-class _Daemon(_Model):
+class _DaemonSettings(_StrictModel):
     name: str = pydantic.Field(min_length=1, description="Name of the host.")
     failure_domain: str = pydantic.Field(
         min_length=1, description="Failure domain of the host."
@@ -84,7 +84,7 @@
     )
 
 
-class OperatorSettings(_Model):
+class OperatorSettings(_StrictModel):
     """An operator that is known before there is any configuration."""
 
     name: str = pydantic.Field(min_length=1, description="Name of the operator.")
@@ -93,7 +93,7 @@
     hash: str = pydantic.Field(description="SHA-256 of salt and secret.")
 
 
-class EntrySettings(_Daemon):
+class EntrySettings(_DaemonSettings):
     """Settings of one entry."""
 
     platform: PlatformSettings
@@ -179,7 +179,7 @@
     )
 
 
-class TargetSettings(_Model):
+class TargetSettings(_StrictModel):
     """The target beside an agent."""
 
     name: str = pydantic.Field(min_length=1, description="Name of the target.")
@@ -216,7 +216,7 @@
     )
 
 
-class AgentSettings(_Daemon):
+class AgentSettings(_DaemonSettings):
     """Settings of one agent."""
 
     target: TargetSettings
@@ -257,15 +257,15 @@
 
 
 def load_settings(model, path):
-    """Return the settings in a YAML file.
+    """Read and validate the settings in a YAML file.
 
     Args:
         model: Class of the settings, such as `EntrySettings`.
         path: Path of the file.
 
     Raises:
-        SettingsError: The file can't be read or is wrong. The message has one line
-            for each fault, with file, line, key and what was expected.
+        SettingsError: The file can't be read or is invalid. The message has one line
+            for each error, with the file, line, key and the expected value.
     """
     path = pathlib.Path(path)
     try:
@@ -276,7 +276,7 @@
 
 
 def parse_settings(model, text, name="settings"):
-    r"""Return the settings in a YAML text; see `load_settings`.
+    r"""Validate the settings in a YAML text; see `load_settings`.
 
     Examples:
         >>> try:
@@ -297,18 +297,18 @@
     try:
         return model.model_validate(data if data is not None else {})
     except pydantic.ValidationError as error:
-        lines = [_describe_fault(name, tree, fault) for fault in error.errors()]
+        lines = [_describe_error(name, tree, details) for details in error.errors()]
         raise exception.SettingsError("\n".join(lines)) from error
 
 
-def _describe_fault(name, tree, fault):
-    key = ".".join(str(part) for part in fault["loc"])
-    line = _find_line(tree, fault["loc"])
-    return f"{name}:{line}: {key}: {fault['msg']}."
+def _describe_error(name, tree, details):
+    key = ".".join(str(part) for part in details["loc"])
+    line = _find_line(tree, details["loc"])
+    return f"{name}:{line}: {key}: {details['msg']}."
 
 
 def _find_line(node, keys):
-    """Return the line of the deepest part of the path `keys` that exists."""
+    """Return the line of the deepest existing node on the path `keys`."""
     line = 1 if node is None else node.start_mark.line + 1
     for key in keys:
         found = _find_child(node, key)
--- a/pimentowick/supervisor.py
+++ b/pimentowick/supervisor.py
@@ -1,8 +1,8 @@
-"""A tree of supervised tasks.
+"""Supervision of the background tasks of a daemon.
 
-A daemon is one `Supervisor` whose children are tasks or further supervisors. A
-task that fails is started again after a delay that doubles up to a bound; one that
-returns is done. `close` ends the children in the reverse order of their start.
+A task that raises an exception is restarted with exponential backoff and jitter; a
+task that returns is not restarted. `Supervisor.close` cancels the tasks in the reverse
+order of their start.
 """
 
 import asyncio
@@ -12,15 +12,15 @@
 
 __all__ = ["Supervisor"]
 
-FIRST_DELAY_S = 0.1
-LAST_DELAY_S = 5.0
+MIN_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
 
 
 class Supervisor:
-    """Runs named tasks, and starts those again that fail.
+    """Runs named tasks and restarts those that fail.
 
     Args:
-        name: Prefix of the log lines about the children.
+        name: Prefix of log messages about the tasks.
 
     Examples:
         >>> async def example():
@@ -43,13 +43,13 @@
         self._closing = False
 
     async def start(self):
-        """Allow children to be started."""
+        """Allow tasks to be started."""
         self._closing = False
 
     def start_child(self, name, function, *args):
-        """Start ``function(*args)``, a coroutine function, as a child.
+        """Start ``function(*args)``, a coroutine function, as a task.
 
-        A child of the same name that still runs is cancelled first.
+        A running task of the same name is cancelled first.
         """
         self.stop_child(name)
         if self._closing:
@@ -58,16 +58,16 @@
             self._run(name, function, args), name=f"{self.name}/{name}"
         )
         self._tasks[name] = task
-        task.add_done_callback(lambda done: self._forget(name, done))
+        task.add_done_callback(lambda done: self._on_task_done(name, done))
 
     def stop_child(self, name):
-        """Cancel a child, if it runs."""
+        """Cancel a task if it is running."""
         task = self._tasks.pop(name, None)
         if task is not None:
             task.cancel()
 
     async def close(self):
-        """Cancel all children, the last started one first, and wait for them."""
+        """Cancel all tasks in reverse order of their start, and wait for them."""
         self._closing = True
         for task in reversed(list(self._tasks.values())):
             task.cancel()
@@ -75,7 +75,7 @@
         self._tasks.clear()
 
     async def _run(self, name, function, args):
-        delay = FIRST_DELAY_S
+        delay = MIN_RESTART_DELAY_S
         while True:
             try:
                 await function(*args)
@@ -83,12 +83,11 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                logger.exception("{}: {} failed. Starting again.", self.name, name)
-            # Children of many processes that failed together for one cause must
-            # not return together: the cause would be met by all of them at once.
+                logger.exception("{}: Task {} failed; restarting it.", self.name, name)
+            # Jitter, as tasks of many processes may fail at the same time.
             await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-            delay = min(delay * 2, LAST_DELAY_S)
+            delay = min(delay * 2, MAX_RESTART_DELAY_S)
 
-    def _forget(self, name, task):
+    def _on_task_done(self, name, task):
         if self._tasks.get(name) is task:
             del self._tasks[name]
--- a/pimentowick/verdict.py
+++ b/pimentowick/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a request may have run, and the refusals that state it."""
+"""Verdicts on whether a request was executed, and error responses that carry them."""
 
 import dataclasses
 import enum
@@ -6,31 +6,30 @@
 
 __all__ = ["Refusal", "Verdict", "combine", "make_deadline_refusal"]
 
-# A request that came too late for its own deadline may come again at once.
-EXPIRED_RETRY_AFTER_S = 1.0
+DEADLINE_RETRY_AFTER_S = 1.0
 
 
 class Verdict(enum.StrEnum):
-    """What is known about the effect of a request at its target."""
+    """Whether a request was executed at its target, as far as known."""
 
     NOT_RUN = "not_run"
-    """No byte of the request can have reached the target."""
+    """The request was not sent to the target; a retry is safe."""
     MAY_HAVE_RUN = "may_have_run"
-    """The request may have reached the target; its effect is unknown."""
+    """The request was sent, but the outcome is unknown."""
     RAN = "ran"
-    """The target answered."""
+    """The target responded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer that says why a request has no result.
+    """Error response to a request that was rejected or failed.
 
     Attributes:
-        status: HTTP status towards the caller.
-        code: Short stable identifier of the reason.
-        message: A sentence that says what to do.
-        verdict: Whether the request may have run.
-        retry_after: Seconds after which a new try makes sense, or None.
+        status: HTTP status.
+        code: Stable, machine-readable error code.
+        message: Human-readable explanation with advice.
+        verdict: Whether the request may have been executed.
+        retry_after: Recommended delay before a retry, in seconds, or None.
     """
 
     status: int
@@ -40,7 +39,7 @@
     retry_after: float | None = None
 
     def to_dict(self):
-        """Return the JSON form that callers and peers receive.
+        """Return the JSON representation sent to callers and peers.
 
         Examples:
             >>> Refusal(429, "busy", "Try again later.", retry_after=1.5).to_dict()[
@@ -60,7 +59,7 @@
 
     @classmethod
     def from_dict(cls, data):
-        """Return the refusal that `to_dict` wrote."""
+        """Return the refusal for a dictionary made by `to_dict`."""
         error = data["error"]
         return cls(
             status=int(data.get("status", 503)),
@@ -70,11 +69,11 @@
             retry_after=error.get("retry_after"),
         )
 
-    def headers(self):
-        """Return the HTTP headers that go with the refusal.
+    def make_headers(self):
+        """Return the HTTP headers of the response.
 
         Examples:
-            >>> Refusal(429, "busy", "Try again later.", retry_after=1.2).headers()
+            >>> Refusal(429, "busy", "Try again later.", retry_after=1.2).make_headers()
             {'Retry-After': '2'}
         """
         if self.retry_after is None:
@@ -82,23 +81,23 @@
         return {"Retry-After": str(max(1, math.ceil(self.retry_after)))}
 
 
-def make_deadline_refusal(found):
+def make_deadline_refusal(outcome):
     """Return the refusal of a request whose deadline has passed.
 
     Args:
-        found: `Verdict` on the request.
+        outcome: `Verdict` on the request.
     """
     return Refusal(
         504,
         "deadline_passed",
         "There was no whole answer by the deadline. Allow more time.",
-        found,
-        EXPIRED_RETRY_AFTER_S,
+        outcome,
+        DEADLINE_RETRY_AFTER_S,
     )
 
 
 def combine(verdicts):
-    """Return the verdict on a request from those of its attempts.
+    """Return the verdict on a request, given the verdicts on its attempts.
 
     Examples:
         >>> combine([Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN])
@@ -106,8 +105,8 @@
         >>> combine([])
         <Verdict.NOT_RUN: 'not_run'>
     """
-    found = set(verdicts)
+    distinct = set(verdicts)
     for verdict in (Verdict.RAN, Verdict.MAY_HAVE_RUN):
-        if verdict in found:
+        if verdict in distinct:
             return verdict
     return Verdict.NOT_RUN
--- a/pimentowick/web.py
+++ b/pimentowick/web.py
@@ -1,4 +1,4 @@
-"""What the HTTP servers of both daemons have in common."""
+"""HTTP server and base request handlers shared by the daemons."""
 
 import asyncio
 import contextlib
@@ -20,41 +20,41 @@
 
 MAX_HEADER_BYTES = 32_768
 MAX_BODY_BYTES = 67_108_864
-# Bodies up to this many times the limit are read and passed over, so that the
-# refusal arrives; larger ones end with the connection.
-PASSED_OVER = 4
-DRAIN_CHECK_S = 0.02
-QUIET_S = 0.2
-# Longer than clients of this package keep an idle connection.
+# Bodies above the size limit, up to this factor, are read and discarded so that the
+# client receives the refusal; for larger ones the connection is closed.
+DISCARD_FACTOR = 4
+DRAIN_POLL_S = 0.02
+DRAIN_QUIET_S = 0.2
+# Longer than the time for which clients of this package keep idle connections.
 IDLE_CONNECTION_S = 120
 BODY_TIMEOUT_S = 120
 
 
 class JsonHandler(web.RequestHandler):
-    """Reads JSON, writes JSON, and turns errors into refusals."""
+    """Base class of handlers with JSON bodies that report errors as refusals."""
 
     def write_json(self, data, status=200):
-        """Answer with `data`."""
+        """Respond with `data` as JSON."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(data))
 
     def write_refusal(self, refusal):
-        """Answer with a `pimentowick.verdict.Refusal`."""
+        """Respond with a `pimentowick.verdict.Refusal`."""
         self.refusal = refusal
-        for name, value in refusal.headers().items():
+        for name, value in refusal.make_headers().items():
             self.set_header(name, value)
         self.write_json(self.describe_refusal(refusal), refusal.status)
 
     def describe_refusal(self, refusal):
-        """Return the body that states a refusal."""
+        """Return the response body of a refusal."""
         return refusal.to_dict()
 
     def read_json(self):
-        """Return the body as a JSON object.
+        """Return the request body decoded as a JSON object.
 
         Raises:
-            RefusedError: The body is something else.
+            RefusedError: The body is not a JSON object.
         """
         try:
             data = orjson.loads(self.request.body)
@@ -65,31 +65,31 @@
         return data
 
     def log_exception(self, typ, value, tb):
-        """Log only what is a fault of this process."""
+        """Log unexpected exceptions only; refusals are part of normal operation."""
         if isinstance(value, exception.RefusedError | web.HTTPError):
             return
         logger.opt(exception=(typ, value, tb)).error(
-            "web: {} {} failed.", self.request.method, self.request.path
+            "web: Unexpected error in {} {}.", self.request.method, self.request.path
         )
 
     def write_error(self, status_code, **kwargs):
-        """Answer an exception with JSON; see `tornado.web.RequestHandler`."""
+        """Respond to an exception with a refusal; see `tornado.web.RequestHandler`."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, exception.RefusedError):
             self.write_refusal(error.refusal)
             return
-        self.write_refusal(_explain_status(status_code))
+        self.write_refusal(_make_status_refusal(status_code))
 
 
 class UnknownPathHandler(JsonHandler):
-    """Answers what no other handler is for."""
+    """Responds to requests for paths without a handler."""
 
     def prepare(self):
-        """Answer 404 whatever the method."""
+        """Respond with 404 for all methods."""
         raise web.HTTPError(404)
 
 
-def _explain_status(status):
+def _make_status_refusal(status):
     if status == 404:
         return verdict.Refusal(
             404, "unknown_path", "There is nothing under this path. See docs/API.md."
@@ -110,15 +110,15 @@
 
 
 def make_input_error(message, code="bad_request", status=400):
-    """Return the error for input that a caller has to change."""
+    """Return the error for an invalid request."""
     return exception.RefusedError(verdict.Refusal(status, code, message))
 
 
 class _OversizedDelegate(httputil.HTTPMessageDelegate):
-    """Passes a body over and then refuses it.
+    """Discards an oversized request body, then responds with 413.
 
-    A client that is still sending does not read: closed at once, it would see its
-    connection reset and never the refusal.
+    Most clients read the response only after they have sent the body. If the connection
+    were closed earlier, they would see a connection reset instead of the refusal.
     """
 
     def __init__(self, request_conn):
@@ -137,8 +137,8 @@
         self._request_conn.finish()
 
 
-class _BusyDelegate(httputil.HTTPMessageDelegate):
-    """Notes that a request has begun to arrive on a connection."""
+class _ActiveRequestDelegate(httputil.HTTPMessageDelegate):
+    """Marks a connection as active when request headers arrive on it."""
 
     def __init__(self, delegate, server, server_conn, request_conn):
         self._delegate = delegate
@@ -148,7 +148,7 @@
         self._received = 0
 
     def headers_received(self, start_line, headers):
-        self._server.busy.add(self._server_conn)
+        self._server.active_connections.add(self._server_conn)
         length = headers.get("Content-Length", "")
         if length.isdecimal() and int(length) > self._server.max_body_bytes:
             self._delegate = _OversizedDelegate(self._request_conn)
@@ -158,8 +158,10 @@
         self._received += len(chunk)
         too_large = self._received > self._server.max_body_bytes
         if too_large and not isinstance(self._delegate, _OversizedDelegate):
-            # Sent in chunks, with no length to refuse it by beforehand.
-            raise httputil.HTTPInputError("The body is too large.")
+            # Chunked transfer encoding: the size is not known from the headers.
+            raise httputil.HTTPInputError(
+                f"request body exceeds {self._server.max_body_bytes} bytes"
+            )
         return self._delegate.data_received(chunk)
 
     def finish(self):
@@ -170,72 +172,70 @@
 
 
 class DrainingServer(httpserver.HTTPServer):
-    """An HTTP server that resets no connection when it stops listening."""
+    """HTTP server that does not reset pending connections when it stops listening."""
 
     def stop(self):
-        """Stop listening; connections that the kernel has taken are served.
+        """Stop listening, but serve the connections in the kernel's accept queue.
 
-        The loop had no turn for these yet, and their requests may be with them. The
-        kernel resets them with the listener: their callers would have to believe
-        that the requests may have run.
+        Closing the listener would reset these connections, and their clients could not
+        tell whether their requests were executed.
         """
-        waiting = []
+        queued = []
         if not self._stopped:
             for listener in self._sockets.values():
-                waiting += _accept_waiting(listener)
+                queued += _accept_queued(listener)
         super().stop()
-        for connection, address in waiting:
+        for connection, address in queued:
             self._handle_connection(connection, address)
 
 
-def _accept_waiting(listener):
-    """Return the connections that wait, and let the kernel take hardly any more."""
-    found = []
+def _accept_queued(listener):
+    """Accept the queued connections after reducing the listen backlog to 0."""
+    accepted = []
     listener.listen(0)
     with contextlib.suppress(BlockingIOError):
         while True:
-            found.append(listener.accept())
-    return found
+            accepted.append(listener.accept())
+    return accepted
 
 
-class _CountingServer(DrainingServer):
-    """Knows the connections whose request is not answered to the last byte."""
+class _TrackingServer(DrainingServer):
+    """Tracks the connections with a request that is not completely answered."""
 
-    # HTTPServer is configurable: initialize takes the place of __init__.
+    # Tornado's configurable classes use initialize instead of __init__.
     def initialize(self, application, max_body_bytes, **kwargs):
         super().initialize(
             application,
-            max_body_size=max_body_bytes * PASSED_OVER,
+            max_body_size=max_body_bytes * DISCARD_FACTOR,
             max_buffer_size=max_body_bytes + MAX_HEADER_BYTES,
             **kwargs,
         )
         self.max_body_bytes = max_body_bytes
-        self.busy = set()
+        self.active_connections = set()
 
     def start_request(self, server_conn, request_conn):
-        # Tornado waits for the next request once the kernel has taken the whole
-        # answer to the one before.
-        self.busy.discard(server_conn)
+        # Called once the previous response has been written to the socket.
+        self.active_connections.discard(server_conn)
         delegate = super().start_request(server_conn, request_conn)
-        return _BusyDelegate(delegate, self, server_conn, request_conn)
+        return _ActiveRequestDelegate(delegate, self, server_conn, request_conn)
 
     def on_close(self, server_conn):
-        self.busy.discard(server_conn)
+        self.active_connections.discard(server_conn)
         super().on_close(server_conn)
 
 
 class Server:
-    """An HTTP server on one address.
+    """HTTP server on one address.
 
     Args:
         application: The tornado application.
         address: IP number to listen on.
         port: TCP port; 0 lets the kernel choose.
-        max_body_bytes: Largest body that is taken.
-        ssl_context: For encrypted connections, or None.
+        max_body_bytes: Maximum size of a request body, in bytes.
+        ssl_context: `ssl.SSLContext` for HTTPS, or None for HTTP.
 
     Attributes:
-        address: ``IP:port`` once started.
+        address: ``IP:port`` after the start, before that None.
     """
 
     def __init__(
@@ -255,14 +255,14 @@
         self.address = None
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         sockets = netutil.bind_sockets(self._port, self._ip)
-        self._server = _CountingServer(
+        self._server = _TrackingServer(
             self._application,
             self._max_body_bytes,
             max_header_size=MAX_HEADER_BYTES,
-            # A connection that fell silent, in the middle of a request or between
-            # two, would keep its socket and what has come of the body for ever.
+            # Close idle connections, which would otherwise keep their sockets and
+            # partially received bodies.
             idle_connection_timeout=IDLE_CONNECTION_S,
             body_timeout=BODY_TIMEOUT_S,
             ssl_options=self._ssl_context,
@@ -272,29 +272,29 @@
         self.address = f"{self._ip}:{port}"
 
     def stop_listening(self):
-        """Take no new connection; those that are open go on."""
+        """Accept no new connections; open connections are still served."""
         self._server.stop()
 
     def count_active_requests(self):
-        """Return how many requests are not answered to the last byte."""
-        return 0 if self._server is None else len(self._server.busy)
+        """Return the number of requests that are not completely answered."""
+        return 0 if self._server is None else len(self._server.active_connections)
 
     async def drain(self, timeout_s):
-        """Wait until every request is answered to the last byte.
+        """Wait until all requests are completely answered.
 
         Args:
-            timeout_s: Longest wait, in seconds.
+            timeout_s: Maximum wait, in seconds.
 
         Returns:
-            Number of requests that are not.
+            Number of requests that are still active.
         """
         deadline = time.monotonic() + timeout_s
-        busy_at = time.monotonic()
-        # A connection that was just taken has a request on its way.
-        while time.monotonic() < min(deadline, busy_at + QUIET_S):
-            await asyncio.sleep(DRAIN_CHECK_S)
+        last_active_at = time.monotonic()
+        # A request may be in transit on a connection that was just accepted.
+        while time.monotonic() < min(deadline, last_active_at + DRAIN_QUIET_S):
+            await asyncio.sleep(DRAIN_POLL_S)
             if self.count_active_requests():
-                busy_at = time.monotonic()
+                last_active_at = time.monotonic()
         return self.count_active_requests()
 
     async def close(self):
