--- a/pimentowick/agent/__init__.py
+++ b/pimentowick/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon beside each target."""
+"""Daemon that runs beside each target and proxies all requests to it."""
--- a/pimentowick/agent/daemon.py
+++ b/pimentowick/agent/daemon.py
@@ -1,7 +1,7 @@
-"""The agent: the only way to the target beside it.
+"""The agent, a proxy for the target on its host.
 
-Whoever reaches the target by another way voids the promises of this package: the
-order of requests, the leases and the fencing are kept here.
+Admission, leases and fencing are enforced by the agent. They hold only if all requests
+to the target pass through it.
 """
 
 import asyncio
@@ -32,35 +32,35 @@
 STARTING = "starting"
 
 LOAD_POLL_S = 0.25
-LOAD_STALE_S = 5.0
+MAX_LOAD_AGE_S = 5.0
 CACHE_POLL_S = 1.0
 LEASE_CHECK_S = 0.1
 CONTROL_CONNECTIONS = 16
 MAX_STOPPED_JOBS = 10_000
-ENTRY_KNOWN_S = 60.0
+ENTRY_EXPIRY_S = 60.0
 
 
 class Agent:
-    """The daemon beside one target.
+    """Daemon that proxies all requests to one target.
 
     Args:
         settings: `pimentowick.settings.AgentSettings`.
 
     Attributes:
-        address: ``IP:port`` once started.
+        address: ``IP:port`` after the start, before that None.
         state: ``starting``, ``ready`` or ``draining``.
-        shutdown_requests: `pimentowick.daemon.ShutdownRequests` that end the process.
-        running: The connections whose request is at work.
+        shutdown_requests: `pimentowick.daemon.ShutdownRequests` of the process.
+        running: Set of `pimentowick.agent.handler.WorkHandler` with active requests.
     """
 
     def __init__(self, settings):
         self.settings = settings
         self.state = STARTING
         self.shutdown_requests = process_daemon.ShutdownRequests()
-        self._process = secrets.token_hex(4)
-        self._heard = {}
+        self._instance_id = secrets.token_hex(4)
+        self._heartbeat_times = {}
         self._revision = 0
-        self._rest = {}
+        self._static_report = {}
         self.running = set()
         self.load = external_engine.EngineLoad()
         self.cache_lifetime = lifetime.CacheLifetimeEstimator()
@@ -78,7 +78,7 @@
             target.max_running,
         )
         self._client = http_client.Client(target.max_online + target.max_batch)
-        self._control = http_client.Client(CONTROL_CONNECTIONS)
+        self._control_client = http_client.Client(CONTROL_CONNECTIONS)
         self.target = self._make_target()
         self.orders = executor.Executor(
             self.target,
@@ -96,12 +96,12 @@
 
     @property
     def is_ready(self):
-        """Whether new work is taken."""
+        """Whether new requests are accepted."""
         return self.state == READY
 
     @property
     def address(self):
-        """``IP:port`` that the agent listens on."""
+        """``IP:port`` on which the agent listens."""
         return self._server.address
 
     def _make_target(self):
@@ -109,14 +109,16 @@
         make = external_adapter.find_adapter(target.kind, target.adapter)
         if target.kind == "service":
             return make(target.address, self._client)
-        return make(target.address, self._client, self._control, self.settings.idle_s)
+        return make(
+            target.address, self._client, self._control_client, self.settings.idle_s
+        )
 
     def _make_weights(self):
         settings = self.settings
         if settings.weights is None:
             return None
         make = external_adapter.find_adapter("weights", settings.weights_adapter)
-        return make(settings.weights, self._control, settings.transfer_s)
+        return make(settings.weights, self._control_client, settings.transfer_s)
 
     def _make_application(self):
         shared = {"agent": self}
@@ -136,63 +138,65 @@
         )
 
     async def start(self):
-        """Listen, and begin to watch the target."""
+        """Start the server and the background tasks."""
         await self._client.start()
-        await self._control.start()
+        await self._control_client.start()
         await self._supervisor.start()
         await self.orders.start()
         await self._server.start()
-        self._supervisor.start_child("leases", self._watch_leases)
-        self._supervisor.start_child("alive", self._send_alive)
+        self._supervisor.start_child("leases", self._cancel_expired)
+        self._supervisor.start_child("alive", self._send_keepalives)
         if self.settings.target.kind == "engine":
-            self._supervisor.start_child("load", self._watch_load)
-            self._supervisor.start_child("cache", self._watch_cache)
+            self._supervisor.start_child("load", self._poll_load)
+            self._supervisor.start_child("cache", self._poll_cache_events)
         self.state = READY
         logger.info("agent: {} listens on {}.", self.settings.name, self.address)
 
     async def drain(self):
-        """Refuse new work, and wait for what runs.
+        """Reject new requests and wait for the active ones.
 
         Returns:
-            Whether all of it ended within the bound of the settings.
+            Whether all requests completed within the drain timeout.
         """
-        logger.info("agent: Draining. {} requests run.", len(self.running))
+        logger.info("agent: Draining; {} active requests.", len(self.running))
         self.state = DRAINING
-        # Entries learn of it with their next heartbeat; until then a refusal that
-        # says not run sends their requests elsewhere.
+        # Until entries see the state in a heartbeat response, requests are refused with
+        # the verdict not_run, and the entries retry them at other targets.
         await asyncio.sleep(self.settings.lame_duck_s)
         self._server.stop_listening()
-        cut = await self._server.drain(self.settings.drain_s)
-        if cut:
-            logger.warning("agent: {} requests are cut.", cut)
-        return not cut
+        unfinished = await self._server.drain(self.settings.drain_s)
+        if unfinished:
+            logger.warning(
+                "agent: Drain timeout expired; aborting {} requests.", unfinished
+            )
+        return not unfinished
 
     async def close(self):
-        """Stop listening and drop all connections."""
+        """Cancel active requests and close all connections."""
         await self._supervisor.close()
         await self.orders.close()
         for each in list(self.running):
             each.cancel()
         await self._server.close()
         await self._client.close()
-        await self._control.close()
-        logger.info("agent: {} is closed.", self.settings.name)
+        await self._control_client.close()
+        logger.info("agent: {} is shut down.", self.settings.name)
 
-    async def _watch_leases(self):
-        """Cancel the batch items of entries whose lease has lapsed."""
+    async def _cancel_expired(self):
+        """Cancel the batch items of entries whose lease has expired."""
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
             for holder in self.leases.pop_expired():
-                self._cancel_batch_of(holder)
+                self._cancel_batch_items(holder)
 
     async def stop_job(self, job):
-        """Cancel the items of a job and refuse those that still arrive.
+        """Cancel the items of a job and refuse its further items.
 
-        An item may be on its way in a socket when the job is cancelled; without the
-        note of the job it would start after the cancellation was acknowledged.
+        The job is recorded so that an item in transit is not started after the
+        cancellation has been acknowledged.
 
         Returns:
-            How many items were cancelled.
+            Number of cancelled items.
         """
         self.stopped_jobs[job] = None
         if len(self.stopped_jobs) > MAX_STOPPED_JOBS:
@@ -204,28 +208,28 @@
             await asyncio.sleep(0)
         return len(items)
 
-    def _cancel_batch_of(self, holder):
-        stale = [
+    def _cancel_batch_items(self, holder):
+        items = [
             each
             for each in self.running
             if each.work.is_batch and each.work.envelope.entry == holder
         ]
-        if stale:
+        if items:
             logger.warning(
-                "agent: The lease of {} lapsed. {} batch items are cancelled.",
+                "agent: Lease of {} expired; cancelling {} batch items.",
                 holder,
-                len(stale),
+                len(items),
             )
-        for each in stale:
+        for each in items:
             each.cancel()
 
-    async def _send_alive(self):
+    async def _send_keepalives(self):
         while True:
             await asyncio.sleep(self.settings.alive_s)
             for each in list(self.running):
-                each.send_alive()
+                each.send_keepalive()
 
-    async def _watch_load(self):
+    async def _poll_load(self):
         while True:
             await asyncio.sleep(LOAD_POLL_S)
             try:
@@ -234,43 +238,43 @@
             except exception.PimentowickError:
                 continue
 
-    async def _watch_cache(self):
+    async def _poll_cache_events(self):
         while True:
             await asyncio.sleep(CACHE_POLL_S)
             start = self.cache_lifetime.resume_sequence
             try:
-                events, following = await self.target.read_cache_events(start)
+                events, next_sequence = await self.target.read_cache_events(start)
             except exception.PimentowickError:
                 continue
-            self.cache_lifetime.record_events(events, following, time.monotonic())
+            self.cache_lifetime.record_events(events, next_sequence, time.monotonic())
 
     def describe(self):
-        """Return all that there is to say about this agent."""
-        rest = self._describe_rest()
-        if rest != self._rest:
-            self._rest = rest
+        """Return a complete report of the agent's state."""
+        static = self._describe_static()
+        if static != self._static_report:
+            self._static_report = static
             self._revision += 1
-        version = f"{self._process}.{self._revision}"
-        return {**rest, "version": version, **self._describe_changing()}
+        version = f"{self._instance_id}.{self._revision}"
+        return {**static, "version": version, **self._describe_dynamic()}
 
-    def answer_heartbeat(self, entry, known):
-        """Return what to tell an entry.
+    def answer_heartbeat(self, entry, known_version):
+        """Record a heartbeat from an entry and return the report for it.
 
         Args:
             entry: Name of the entry's process.
-            known: Version of what this agent told the entry before, or None. What
-                seldom changes is left out while it is the same.
+            known_version: Version of the last report that the entry received, or
+                None. The static fields are omitted if they have not changed since.
         """
-        self._heard.pop(entry, None)
-        self._heard[entry] = time.monotonic()
+        self._heartbeat_times.pop(entry, None)
+        self._heartbeat_times[entry] = time.monotonic()
         answer = self.describe()
-        if known != answer["version"]:
+        if known_version != answer["version"]:
             return answer
-        return {key: answer[key] for key in answer if key not in self._rest}
+        return {key: answer[key] for key in answer if key not in self._static_report}
 
-    def _describe_rest(self):
+    def _describe_static(self):
         target = self.settings.target
-        rest = {
+        static = {
             "agent": self.settings.name,
             "kind": target.kind,
             "service": target.service,
@@ -280,14 +284,14 @@
             "models": list(self.load.models),
         }
         if target.kind == "engine":
-            rest.update(self.orders.describe(self.load.models, self.load.adapters))
-            rest["max_models"] = target.max_models
-            # Nobody must count on models of an engine that tells nothing.
+            static.update(self.orders.describe(self.load.models, self.load.adapters))
+            static["max_models"] = target.max_models
+            # The list of models is unreliable if the engine stopped reporting.
             age = time.monotonic() - self._load_read_at
-            rest["settled"] = rest["settled"] and age < LOAD_STALE_S
-        return rest
+            static["settled"] = static["settled"] and age < MAX_LOAD_AGE_S
+        return static
 
-    def _describe_changing(self):
+    def _describe_dynamic(self):
         admission = self.admission
         return {
             "state": self.state,
@@ -303,21 +307,24 @@
         }
 
     def count_entries(self):
-        """Return how many entries sent a heartbeat lately."""
-        limit = time.monotonic() - ENTRY_KNOWN_S
-        # The one heard longest ago stands first.
-        while self._heard and next(iter(self._heard.values())) < limit:
-            self._heard.pop(next(iter(self._heard)))
-        return len(self._heard)
+        """Return the number of entries with a recent heartbeat."""
+        limit = time.monotonic() - ENTRY_EXPIRY_S
+        # Ordered by the time of the last heartbeat.
+        while (
+            self._heartbeat_times and next(iter(self._heartbeat_times.values())) < limit
+        ):
+            self._heartbeat_times.pop(next(iter(self._heartbeat_times)))
+        return len(self._heartbeat_times)
 
     async def _drain_model(self, kind, name):
-        await usage.drain(self.running, kind, name, self.settings.drain_s)
+        await usage.wait_until_unused(self.running, kind, name, self.settings.drain_s)
 
-    def check(self, work):
-        """Refuse work that must not begin.
+    def check_admissible(self, work):
+        """Check that a request may be started.
 
         Raises:
-            RefusedError: The agent drains, or the sender's lease has lapsed.
+            RefusedError: The agent is draining, the model is being unloaded, the job
+                was cancelled, or the entry's lease has expired.
         """
         if not self.is_ready:
             raise exception.RefusedError(
@@ -328,7 +335,7 @@
                     retry_after=0.1,
                 )
             )
-        if usage.needs_any(work, self.orders.leaving):
+        if usage.uses_any(work, self.orders.leaving):
             raise exception.RefusedError(
                 verdict.Refusal(
                     503,
--- a/pimentowick/agent/frame.py
+++ b/pimentowick/agent/frame.py
@@ -1,16 +1,16 @@
-"""The JSON lines that an agent answers an entry with.
+"""JSON lines of an agent's response to an entry.
 
-Every line names the request and the attempt that it belongs to; the answer is whole
-only with its last line, an end or a refusal.
+Each line contains the id of the request and the number of the attempt. The response is
+complete only with its last line, which reports the end or a refusal.
 """
 
 import orjson
 
 __all__ = [
-    "make_alive",
-    "make_answer",
     "make_end",
+    "make_keepalive",
     "make_refusal",
+    "make_response",
     "make_tokens",
     "parse_frame",
 ]
@@ -23,31 +23,31 @@
 
 
 def make_tokens(request_id, attempt, index, texts):
-    """Return the line with some consecutive tokens."""
+    """Return a line with consecutive tokens, the first of which has the given index."""
     return _encode(request_id, attempt, index=index, texts=texts)
 
 
-def make_alive(request_id, attempt):
-    """Return the line that shows that the connection and the agent live."""
+def make_keepalive(request_id, attempt):
+    """Return a keep-alive line."""
     return _encode(request_id, attempt, alive=True)
 
 
 def make_end(request_id, attempt, finish_reason, tokens):
-    """Return the line that ends a generation."""
+    """Return the last line of a completed generation."""
     return _encode(
         request_id, attempt, end=True, finish_reason=finish_reason, tokens=tokens
     )
 
 
-def make_answer(request_id, attempt, status, headers, body):
-    """Return the line with the whole answer of a plain service.
+def make_response(request_id, attempt, status, headers, body):
+    """Return the line with the complete response of a plain service.
 
     Args:
         request_id: Id of the request.
         attempt: Number of the attempt.
         status: HTTP status.
         headers: Dictionary of headers.
-        body: Bytes; sent one character a byte, since JSON holds no bytes.
+        body: Bytes, encoded in JSON as Latin-1 text.
     """
     return _encode(
         request_id,
@@ -60,17 +60,17 @@
 
 
 def make_refusal(request_id, attempt, refusal):
-    """Return the line that ends a request without a result."""
+    """Return the last line of a refused or failed request."""
     return _encode(request_id, attempt, refusal=refusal.to_dict())
 
 
 def parse_frame(line, request_id, attempt):
-    """Return the line as a dictionary, or None if it is of another attempt.
+    """Return the decoded line, or None if it is invalid or of another attempt.
 
     Examples:
-        >>> parse_frame(make_alive("r", 1), "r", 1)["alive"]
+        >>> parse_frame(make_keepalive("r", 1), "r", 1)["alive"]
         True
-        >>> parse_frame(make_alive("r", 1), "r", 2) is None
+        >>> parse_frame(make_keepalive("r", 1), "r", 2) is None
         True
     """
     try:
--- a/pimentowick/agent/handler.py
+++ b/pimentowick/agent/handler.py
@@ -1,4 +1,4 @@
-"""What an agent answers to entries, to the decider on placement, and to probes."""
+"""Request handlers of an agent for entries, placement orders and health probes."""
 
 import asyncio
 import contextlib
@@ -23,38 +23,38 @@
     "WorkHandler",
 ]
 
-# Entries don't read these; a heartbeat answer is smaller without them.
-UNUSED_HEADERS = ("Server", "Date", "Content-Type")
+# Not read by entries; removed to reduce the size of heartbeat responses.
+OMITTED_HEADERS = ("Server", "Date", "Content-Type")
 
 
 class AgentHandler(http_web.JsonHandler):
-    """Knows the agent."""
+    """Base class of handlers with access to the agent."""
 
     def initialize(self, agent):
-        """Take the agent."""
+        """Store the agent."""
         self.agent = agent
 
 
 class WorkHandler(AgentHandler):
-    """One request at work; its connection's task runs it."""
+    """Executes one request and streams the lines of its response."""
 
     def initialize(self, agent):
-        """Take the agent."""
+        """Store the agent."""
         super().initialize(agent)
         self.work = None
         self._task = None
-        self._idle = False
+        self._no_line_sent = False
         self._flushing = False
 
     async def post(self):
-        """Run a request and answer with its lines."""
+        """Execute the request and respond with its lines."""
         work = agent_work.parse_work(self.read_json())
         self.work = work
         self.set_header("Content-Type", "application/x-ndjson")
         try:
-            self.agent.check(work)
+            self.agent.check_admissible(work)
         except exception.RefusedError as error:
-            self._count(error.refusal)
+            self._record_refusal(error.refusal)
             self.finish(work.make_refusal(error.refusal))
             return
         self._task = asyncio.ensure_future(self._run(work))
@@ -62,8 +62,8 @@
         try:
             await self._task
         except asyncio.CancelledError:
-            # The lease lapsed, or the entry is gone: without a last line the entry
-            # sees the answer as broken, which is what it is.
+            # The request was cancelled, so the response is left without a last line
+            # and the entry treats it as truncated.
             self.request.connection.close()
         except iostream.StreamClosedError:
             return
@@ -77,87 +77,85 @@
                 async for line in lines:
                     await self._send(line)
         except exception.RefusedError as error:
-            self._count(error.refusal)
+            self._record_refusal(error.refusal)
             self.write(work.make_refusal(error.refusal))
         else:
             self.agent.metrics.count_answered(work.envelope.priority)
         self.finish()
 
     async def _send(self, line):
-        # What came together is flushed at once; the loop goes on to other
-        # connections while the kernel takes it.
-        self._idle = False
+        # Wait for the flush so that a slow reader applies backpressure.
+        self._no_line_sent = False
         self.write(line)
         self._flushing = True
         await self.flush()
         self._flushing = False
 
-    def _count(self, refusal):
+    def _record_refusal(self, refusal):
         self.agent.metrics.count_refused(refusal.code, refusal.verdict)
 
-    def send_alive(self):
-        """Send a keep-alive line if nothing was sent since the last call."""
+    def send_keepalive(self):
+        """Send a keep-alive line if no line was sent since the last call."""
         if self._flushing or self._finished:
-            # Tornado forgets a flush that another one overtakes: an entry that was
-            # slow to read would never get the rest. What waits in the socket
-            # already shows that this end lives.
+            # Tornado never resolves a pending flush that is followed by another one,
+            # so the response would stall. The unsent data serves as keep-alive.
             return
-        if self._idle:
-            self.write(self.work.make_alive())
+        if self._no_line_sent:
+            self.write(self.work.make_keepalive())
             self.flush()
-        self._idle = True
+        self._no_line_sent = True
 
     def cancel(self):
-        """End the request."""
+        """Cancel the request."""
         if self._task is not None:
             self._task.cancel()
 
     def on_connection_close(self):
-        """End the request: nobody waits for it any more."""
+        """Cancel the request, as the entry has disconnected."""
         self.cancel()
 
 
 class HeartbeatHandler(AgentHandler):
-    """Tells an entry how the agent is, and renews the entry's lease."""
+    """Reports the agent's state to an entry and renews the entry's lease."""
 
     def post(self):
-        """Answer a heartbeat."""
+        """Respond to a heartbeat."""
         data = self.read_json()
         answer = self.agent.answer_heartbeat(data["entry"], data.get("have"))
         answer = membership_report.omit_defaults(answer)
         if data.get("renew") is not None:
             answer["lease"] = self.agent.leases.renew(data["entry"], data["renew"])
-        for name in UNUSED_HEADERS:
+        for name in OMITTED_HEADERS:
             self.clear_header(name)
         self.write_json(answer)
 
     def compute_etag(self):
-        """Return None: no answer is asked for again."""
+        """Return None, as responses are not cached."""
 
 
 class StopJobHandler(AgentHandler):
-    """Ends the items of a cancelled job."""
+    """Stops the items of a cancelled job."""
 
     async def post(self):
-        """Answer once no item of the job runs here."""
+        """Respond after all items of the job have been cancelled."""
         job = self.read_json()["job"]
         self.write_json({"cancelled": await self.agent.stop_job(job)})
 
 
 class DrainHandler(AgentHandler):
-    """Makes the agent drain and its process end, as SIGTERM does."""
+    """Starts a graceful shutdown of the agent, like SIGTERM."""
 
     def post(self):
-        """Answer at once; `GET /ready` shows how it goes on."""
+        """Respond immediately; `GET /ready` reports the progress."""
         self.agent.shutdown_requests.request_drain()
         self.write_json({"state": "draining"}, 202)
 
 
 class OrderHandler(AgentHandler):
-    """Takes an order to the engine, or tells how the same order fares."""
+    """Accepts a placement order, or reports the status of the same order."""
 
     def post(self):
-        """Answer with the order's status; 409 if it is not taken."""
+        """Respond with the status of the order, or with 409 if it is rejected."""
         orders = self.agent.orders
         try:
             order = placement_order.parse_order(self.read_json())
@@ -170,17 +168,17 @@
 
 
 class HealthHandler(AgentHandler):
-    """Liveness: the loop turns."""
+    """Liveness probe."""
 
     def get(self):
-        """Answer that the process lives."""
+        """Respond with the state of the agent."""
         self.write_json({"state": self.agent.state})
 
 
 class ReadyHandler(HealthHandler):
-    """Readiness: new work is taken."""
+    """Readiness probe."""
 
     def get(self):
-        """Answer 200 while new work is taken, 503 otherwise."""
+        """Respond with 200 if new requests are accepted, otherwise with 503."""
         status = 200 if self.agent.is_ready else 503
         self.write_json(self.agent.describe(), status)
--- a/pimentowick/agent/metered.py
+++ b/pimentowick/agent/metered.py
@@ -1,4 +1,4 @@
-"""Admission that counts what it decides."""
+"""Admission control with metrics."""
 
 import time
 
@@ -8,11 +8,11 @@
 
 
 class MeteredAdmission(admission.Admission):
-    """Tells `pimentowick.metrics.AgentMetrics` who got a place, and after how long.
+    """Admission control that records admissions and waiting times as metrics.
 
     Args:
-        metrics: The `AgentMetrics`.
-        *args: As for the base class.
+        metrics: `pimentowick.metrics.AgentMetrics`.
+        *args: Arguments of the base class.
     """
 
     def __init__(self, metrics, *args):
@@ -20,19 +20,19 @@
         self._metrics = metrics
 
     async def admit_online(self, ticket, deadline_s):
-        """Wait for a place; see the base class."""
-        began = time.monotonic()
+        """Wait for an online slot; see the base class."""
+        started_at = time.monotonic()
         await super().admit_online(ticket, deadline_s)
-        self._metrics.count_admitted("online", time.monotonic() - began)
+        self._metrics.count_admitted("online", time.monotonic() - started_at)
 
     async def admit_batch(self, ticket):
-        """Wait for a place for a batch item; see the base class."""
-        began = time.monotonic()
+        """Wait for a batch slot; see the base class."""
+        started_at = time.monotonic()
         await super().admit_batch(ticket)
-        self._metrics.count_admitted("batch", time.monotonic() - began)
+        self._metrics.count_admitted("batch", time.monotonic() - started_at)
 
     async def readmit_batch(self, ticket):
-        """Wait for a place for a preempted item; see the base class."""
-        began = time.monotonic()
+        """Wait for a batch slot for a preempted item; see the base class."""
+        started_at = time.monotonic()
         await super().readmit_batch(ticket)
-        self._metrics.count_resumed(time.monotonic() - began)
+        self._metrics.count_resumed(time.monotonic() - started_at)
--- a/pimentowick/agent/tests/test_daemon.py
+++ b/pimentowick/agent/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The agent's connections to entries."""
+"""Tests of the agent's connections to entries."""
 
 import asyncio
 
@@ -7,24 +7,23 @@
 from pimentowick.fakes import callers as fake_callers
 from pimentowick.fakes import embedded
 
-PIECES = 3
-PIECE_BYTES = 16_000_000
+CHUNKS = 3
+CHUNK_BYTES = 16_000_000
 
 
 class HugeTarget:
-    """Answers with more than a socket holds."""
+    """Target whose response exceeds the socket buffers."""
 
     async def generate(self, generation):
-        for index in range(PIECES):
-            yield external_engine.Tokens(index, ["x" * PIECE_BYTES])
-        yield external_engine.End("stop", PIECES)
+        for index in range(CHUNKS):
+            yield external_engine.Tokens(index, ["x" * CHUNK_BYTES])
+        yield external_engine.End("stop", CHUNKS)
 
 
 def test_answer_goes_on_after_an_entry_was_slow_to_read():
-    """An entry reads nothing for longer than the time between keep-alive lines.
+    """Guards against a stalled response to an entry that does not read for a while.
 
-    It may be paused, or the network slow. Once it reads again the rest of the answer
-    has to come; the place at the target would otherwise be kept until the deadline.
+    A keep-alive line written during a pending flush must not block the response.
     """
 
     async def check(fleet, callers):
@@ -33,8 +32,8 @@
         reader, writer = await send_work(agent.address)
         await fleet.wait_for(lambda: agent.running)
         (handler,) = agent.running
-        marks = count_calls(handler, "send_alive")
-        await fleet.wait_for(lambda: len(marks) >= 3)
+        calls = count_calls(handler, "send_keepalive")
+        await fleet.wait_for(lambda: len(calls) >= 3)
         writer.transport.resume_reading()
         async with asyncio.timeout(20):
             data = await reader.readuntil(b"\r\n0\r\n\r\n")
@@ -43,15 +42,15 @@
     fake_callers.run_with_callers(check, engines=1, entries=1)
 
 
-def count_calls(thing, name):
+def count_calls(obj, name):
     calls = []
-    function = getattr(thing, name)
+    function = getattr(obj, name)
 
     def call(*args):
         calls.append(args)
         return function(*args)
 
-    setattr(thing, name, call)
+    setattr(obj, name, call)
     return calls
 
 
@@ -59,7 +58,7 @@
     envelope = {"request_id": "r", "attempt": 1, "entry": "e", "workspace": "a"}
     envelope |= {"priority": "online", "deadline_s": 60.0}
     generation = {"model": embedded.MODEL, "adapter": None, "prompt": "x"}
-    body = {"envelope": envelope, "generate": generation | {"max_tokens": PIECES}}
+    body = {"envelope": envelope, "generate": generation | {"max_tokens": CHUNKS}}
     return await fake_callers.open_unread(address, "/work", body)
 
 
--- a/pimentowick/agent/usage.py
+++ b/pimentowick/agent/usage.py
@@ -1,4 +1,4 @@
-"""What the requests at work in an agent need of its engine."""
+"""Models and adapters in use by the active requests of an agent."""
 
 import asyncio
 import collections
@@ -6,40 +6,41 @@
 
 from pimentowick.agent import work as agent_work
 
-__all__ = ["count_demand", "drain", "needs_any"]
+__all__ = ["count_demand", "uses_any", "wait_until_unused"]
 
-CHECK_S = 0.05
+POLL_S = 0.05
 
 
 def count_demand(handlers):
-    """Return how many of the requests at work need each model."""
+    """Return the number of active requests by model."""
     return collections.Counter(each.model for each in _list_generations(handlers))
 
 
-async def drain(handlers, kind, name, timeout_s):
-    """Wait until no request at work needs a model or adapter, within a bound.
+async def wait_until_unused(handlers, kind, name, timeout_s):
+    """Wait until no active request uses a model or adapter, or until the timeout.
 
     Args:
-        handlers: The agent's set of requests at work, which changes meanwhile.
+        handlers: Set of the agent's active `WorkHandler` objects, which may change
+            during the wait.
         kind: ``model`` or ``adapter``.
-        name: Its name.
-        timeout_s: The bound, in seconds.
+        name: Name of the model or adapter.
+        timeout_s: Maximum wait, in seconds.
     """
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         generations = _list_generations(handlers)
         if not any(getattr(each, kind) == name for each in generations):
             return
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(POLL_S)
 
 
-def needs_any(work, keys):
-    """Return whether a piece of work needs one of the ``(kind, name)`` in `keys`."""
+def uses_any(work, keys):
+    """Return whether work uses one of the ``(kind, name)`` pairs in `keys`."""
     if not keys or not isinstance(work, agent_work.GenerateWork):
         return False
     generation = work.generation
-    needed = {("model", generation.model), ("adapter", generation.adapter)}
-    return not needed.isdisjoint(keys)
+    used = {("model", generation.model), ("adapter", generation.adapter)}
+    return not used.isdisjoint(keys)
 
 
 def _list_generations(handlers):
--- a/pimentowick/agent/work.py
+++ b/pimentowick/agent/work.py
@@ -1,9 +1,9 @@
-"""Runs one request at the agent's target.
+"""Execution of a request at the agent's target.
 
-Each run is one task, that of the connection which asked for it. It takes its place
-from the admission, passes the request to the target and yields the lines of the
-answer. A batch item that is preempted ends at the engine, waits for a place, and
-goes on from the tokens that it had.
+Each request is executed by a task of its connection's handler. It waits for admission,
+forwards the request to the target and yields the lines of the response. A preempted
+batch item is cancelled at the engine, waits for readmission and resumes after the
+tokens that it has generated.
 """
 
 import asyncio
@@ -23,16 +23,16 @@
     "parse_work",
 ]
 
-ONLINE = "online"
-BATCH = "batch"
-# Statuses of an engine that won't resume a stream; of a bad prompt, too, which is
-# then found out by running it from its beginning.
-RESUME_REFUSED = frozenset([400, 404, 409, 422])
+ONLINE_PRIORITY = "online"
+BATCH_PRIORITY = "batch"
+# Status codes with which an engine refuses to resume a generation. They include those
+# for an invalid prompt, which fails again when the generation is restarted.
+RESUME_REFUSED_STATUSES = frozenset([400, 404, 409, 422])
 
 
 @dataclasses.dataclass(slots=True)
 class Envelope:
-    """What an entry tells about a request, besides the request itself."""
+    """Metadata that an entry sends with a request."""
 
     request_id: str
     attempt: int
@@ -47,10 +47,10 @@
 
 
 def parse_work(data):
-    """Return the `GenerateWork` or `ServiceWork` that an entry asks for.
+    """Parse the body of an entry's request as `GenerateWork` or `ServiceWork`.
 
     Raises:
-        RefusedError: The message is malformed.
+        RefusedError: The body is malformed.
     """
     try:
         envelope = Envelope(**data["envelope"])
@@ -75,7 +75,7 @@
 
 
 class _Work:
-    """What both kinds of work share."""
+    """Base class of both kinds of work."""
 
     def __init__(self, envelope):
         self.envelope = envelope
@@ -89,14 +89,14 @@
     @property
     def is_batch(self):
         """Whether this is a batch item."""
-        return self.envelope.priority == BATCH
+        return self.envelope.priority == BATCH_PRIORITY
 
-    def make_alive(self):
-        """Return the keep-alive line of this work."""
-        return frame.make_alive(self.envelope.request_id, self.envelope.attempt)
+    def make_keepalive(self):
+        """Return the keep-alive line for this request."""
+        return frame.make_keepalive(self.envelope.request_id, self.envelope.attempt)
 
     def make_refusal(self, refusal):
-        """Return the line that refuses this work."""
+        """Return the line that reports a refusal of this request."""
         return frame.make_refusal(
             self.envelope.request_id, self.envelope.attempt, refusal
         )
@@ -111,17 +111,17 @@
         self.ticket.prompt_chars = len(generation.prompt)
 
     async def run(self, target, admission):
-        """Yield the lines of the answer.
+        """Yield the lines of the response.
 
         Raises:
-            RefusedError: The request got no whole answer.
+            RefusedError: The target did not respond completely.
         """
         if self.is_batch:
             lines = self._run_batch(target, admission)
         else:
             lines = self._run_online(target, admission)
-        # Closed here, not by the garbage collector: the place at the target would
-        # stay taken until then.
+        # Close the generator explicitly; otherwise the slot at the target is released
+        # only on garbage collection.
         async with contextlib.aclosing(lines):
             async for line in lines:
                 yield line
@@ -163,27 +163,26 @@
                     async for event in events:
                         yield event
             except exception.RefusedError as error:
-                if error.refusal.status not in RESUME_REFUSED:
+                if error.refusal.status not in RESUME_REFUSED_STATUSES:
                     raise
             else:
                 return
-        # An engine that has lost the cache, or can't resume at all, refuses; the
-        # item would fail for good though it can run. It begins again, and the
-        # tokens that the entry has already are left out.
+        # The engine can't resume, for instance because it evicted the cache. Restart
+        # the generation and skip the tokens that were already sent to the entry.
         events = self._run_until_preempted(target, admission, 0)
         async with contextlib.aclosing(events):
             async for event in events:
-                event = _drop_known(event, produced)
+                event = _skip_sent_tokens(event, produced)
                 if event is not None:
                     yield event
 
     async def _generate(self, target, admission, generation):
-        """Yield the engine's events, and show them to the admission's meter."""
+        """Yield the engine's events, and record tokens and steps for admission."""
         stream = object()
         prompt_chars = 0 if generation.resume_tokens else len(generation.prompt)
         try:
-            # Closed with this iterator: a stream that is left to the garbage
-            # collector would go on at the engine for a while.
+            # Close the stream explicitly; otherwise the engine continues it until
+            # garbage collection.
             async with contextlib.aclosing(target.generate(generation)) as events:
                 async for event in events:
                     if isinstance(event, external_engine.Tokens):
@@ -201,26 +200,26 @@
         generation = dataclasses.replace(self.generation, resume_tokens=produced)
         events = self._generate(target, admission, generation)
         preempted = asyncio.ensure_future(self.ticket.preempted.wait())
-        following = None
+        next_event = None
         try:
             while True:
-                following = asyncio.ensure_future(anext(events, None))
+                next_event = asyncio.ensure_future(anext(events, None))
                 await asyncio.wait(
-                    {following, preempted}, return_when=asyncio.FIRST_COMPLETED
+                    {next_event, preempted}, return_when=asyncio.FIRST_COMPLETED
                 )
                 if preempted.done():
                     return
-                event = following.result()
+                event = next_event.result()
                 if event is None:
                     return
                 yield event
         finally:
             preempted.cancel()
-            await _cancel(following)
+            await _cancel_future(next_event)
             await events.aclose()
             if preempted.done() and not preempted.cancelled():
-                # The engine would go on with its step until it saw the closed
-                # connection; the order frees the place for online work at once.
+                # Cancel explicitly to free the slot for online work immediately; the
+                # engine may detect the closed connection only after its current step.
                 await target.cancel(generation.request_id)
 
     def _make_line(self, event):
@@ -231,17 +230,17 @@
         return frame.make_end(request_id, attempt, event.finish_reason, event.tokens)
 
 
-def _drop_known(event, known):
-    """Return the event without its first `known` tokens, or None if none is left."""
+def _skip_sent_tokens(event, sent_tokens):
+    """Return the event without the tokens already sent, or None if none is left."""
     if isinstance(event, external_engine.End):
         return event
-    skip = max(0, known - event.index)
+    skip = max(0, sent_tokens - event.index)
     if skip >= len(event.texts):
         return None
     return external_engine.Tokens(event.index + skip, event.texts[skip:])
 
 
-async def _cancel(future):
+async def _cancel_future(future):
     if future is None or future.done():
         return
     future.cancel()
@@ -256,17 +255,17 @@
         self.call = call
 
     async def run(self, target, admission):
-        """Yield the line of the answer.
+        """Yield the single line of the response.
 
         Raises:
-            RefusedError: The call got no whole answer.
+            RefusedError: The service did not respond completely.
         """
         await admission.admit_online(self.ticket, self.envelope.deadline_s)
         try:
             answer = await target.call(self.call)
         finally:
             admission.release_online(self.ticket)
-        yield frame.make_answer(
+        yield frame.make_response(
             self.envelope.request_id,
             self.envelope.attempt,
             answer.status,
--- a/pimentowick/web.py
+++ b/pimentowick/web.py
@@ -159,9 +159,7 @@
         too_large = self._received > self._server.max_body_bytes
         if too_large and not isinstance(self._delegate, _OversizedDelegate):
             # Chunked transfer encoding: the size is not known from the headers.
-            raise httputil.HTTPInputError(
-                f"request body exceeds {self._server.max_body_bytes} bytes"
-            )
+            raise httputil.HTTPInputError("Chunked request body too large.")
         return self._delegate.data_received(chunk)
 
     def finish(self):
