--- a/pimentowick/external/__init__.py
+++ b/pimentowick/external/__init__.py
@@ -1,1 +1,1 @@
-"""The systems of the platform, each behind an abstract base class."""
+"""Adapters for external systems, each with an abstract base class."""
--- a/pimentowick/external/adapter.py
+++ b/pimentowick/external/adapter.py
@@ -1,7 +1,7 @@
-"""Chooses the adapter of each outside system by its name in the settings.
+"""Lookup of the adapter classes for external systems by their names in the settings.
 
-An operator whose log or engine speaks another way writes one module with a subclass of
-the abstract base class and names it as ``module:Class``; nothing else changes.
+To support a system with another protocol, operators provide a subclass of its abstract
+base class and specify it as ``module:Class``.
 """
 
 import importlib
@@ -21,14 +21,15 @@
 
 
 def find_adapter(system, name):
-    """Return the class that speaks to an outside system.
+    """Return the adapter class for an external system.
 
     Args:
         system: ``log``, ``hosts``, ``engine``, ``service`` or ``weights``.
-        name: ``http``, or ``module:Class`` of an adapter elsewhere.
+        name: ``http``, or ``module:Class`` of an external adapter.
 
     Raises:
-        SettingsError: There is no such adapter, or it is not one of `system`.
+        SettingsError: The adapter does not exist or is not a subclass of the system's
+            abstract base class.
 
     Examples:
         >>> find_adapter("log", "http").__name__
@@ -36,19 +37,19 @@
         >>> find_adapter("hosts", "pimentowick.external.hosts:HttpHostList").__name__
         'HttpHostList'
     """
-    base, known = ADAPTERS[system]
-    if name in known:
-        return known[name]
+    base, builtin = ADAPTERS[system]
+    if name in builtin:
+        return builtin[name]
     module_name, _, class_name = name.partition(":")
     try:
-        found = getattr(importlib.import_module(module_name), class_name)
+        adapter_class = getattr(importlib.import_module(module_name), class_name)
     except (ImportError, AttributeError, ValueError) as error:
-        names = ", ".join(known)
+        names = ", ".join(builtin)
         raise exception.SettingsError(
             f"{system} adapter {name!r}: expected {names} or module:Class."
         ) from error
-    if not (isinstance(found, type) and issubclass(found, base)):
+    if not (isinstance(adapter_class, type) and issubclass(adapter_class, base)):
         raise exception.SettingsError(
             f"{system} adapter {name!r}: not a subclass of {base.__name__}."
         )
-    return found
+    return adapter_class
--- a/pimentowick/external/engine.py
+++ b/pimentowick/external/engine.py
@@ -1,4 +1,4 @@
-"""The model engine beside an agent."""
+"""Client for a model engine that runs beside an agent."""
 
 import abc
 import contextlib
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generation:
-    """What an engine is asked to generate."""
+    """Generation request to an engine."""
 
     request_id: str
     attempt: int
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tokens:
-    """Some consecutive tokens; `index` is that of the first."""
+    """Consecutive tokens of a generation; `index` is the position of the first."""
 
     index: int
     texts: list
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """The end of a generation: ``stop``, ``length`` or ``cancelled``."""
+    """End of a generation due to ``stop``, ``length`` or ``cancelled``."""
 
     finish_reason: str
     tokens: int
@@ -55,12 +55,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """The engine's own report, some time old.
+    """Load reported by an engine.
 
     Attributes:
-        running: Sequences in the running batch.
-        waiting: Sequences that wait for it.
-        step_ms: Time of a step, in milliseconds.
+        running: Number of sequences in the running batch.
+        waiting: Number of queued sequences.
+        step_ms: Duration of a decoding step, in milliseconds.
         models: Names of the loaded models.
         adapters: Names of the loaded adapters.
     """
@@ -74,10 +74,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A block that came into the prefix cache or left it.
+    """Insertion or eviction of a block of the prefix cache.
 
     Attributes:
-        sequence: Number of the event; numbers that are missing were lost.
+        sequence: Sequence number of the event; gaps indicate lost events.
         kind: ``stored`` or ``evicted``.
         block: Hash of the prefix.
     """
@@ -88,60 +88,62 @@
 
 
 class Engine(abc.ABC):
-    """A model engine as the agent sees it."""
+    """Interface of a model engine."""
 
     @abc.abstractmethod
     def generate(self, generation):
-        """Yield `Tokens` and at last one `End`, asynchronously.
+        """Yield `Tokens` and finally one `End`, asynchronously.
 
-        Closing the iterator early ends the stream at the engine, too.
+        Closing the iterator early also ends the generation at the engine.
 
         Raises:
-            RefusedError: The engine refused, or its answer broke off; the refusal
-                carries the verdict.
+            RefusedError: The engine refused the request or its response was truncated.
         """
 
     @abc.abstractmethod
     async def cancel(self, request_id):
-        """Ask the engine to end a stream; errors are passed over."""
+        """Ask the engine to cancel a generation; errors are ignored."""
 
     @abc.abstractmethod
     async def read_load(self):
         """Return the `EngineLoad`.
 
         Raises:
-            UnavailableError: No answer came.
+            UnavailableError: The engine did not respond successfully.
         """
 
     async def read_cache_events(self, start):
-        """Return a list of `CacheEvent` from number `start` on, and the next number.
+        """Return a list of `CacheEvent` and the next sequence number to read from.
 
-        An engine that tells none has no events.
+        The default implementation is for engines that do not report cache events.
+
+        Args:
+            start: First sequence number to return.
 
         Raises:
-            UnavailableError: No answer came.
+            UnavailableError: The engine did not respond successfully.
         """
         return [], start
 
     @abc.abstractmethod
     async def send_order(self, fence, action, **fields):
-        """Give a fenced order.
+        """Send a placement order with a fencing number.
 
         Raises:
             ConflictError: The engine has seen a higher fencing number.
-            UnavailableError: It is not known whether the order was carried out.
+            UnavailableError: It is unknown whether the order was executed.
         """
 
 
 class HttpEngine(Engine):
-    """An engine over HTTP, as docs/PLATFORM.md describes it.
+    """Engine with the HTTP interface described in docs/PLATFORM.md.
 
     Args:
         address: ``IP:port`` of the engine.
-        client: `pimentowick.client.Client` for the streams.
-        control: Client for everything else, so that a cancellation does not wait
-            behind the streams that it is to end.
-        idle_s: Longest silence within a stream, in seconds.
+        client: `pimentowick.client.Client` for streams.
+        control: Client for all other requests, so that cancellations are not queued
+            behind streams.
+        idle_s: Idle timeout of a stream, in seconds.
     """
 
     def __init__(self, address, client, control, idle_s):
@@ -151,7 +153,7 @@
         self._idle_s = idle_s
 
     async def generate(self, generation):
-        """Yield what the engine generates; see `Engine.generate`."""
+        """Yield the events of a generation; see `Engine.generate`."""
         stream = self._client.open_stream(
             "POST",
             self.address,
@@ -176,10 +178,10 @@
             if not ended:
                 stream.abort()
         if not ended:
-            raise exception.RefusedError(_explain_status(stream))
+            raise exception.RefusedError(_make_status_refusal(stream))
 
     async def cancel(self, request_id):
-        """Ask the engine to end a stream; see `Engine.cancel`."""
+        """Cancel a generation; see `Engine.cancel`."""
         try:
             await self._control.fetch(
                 "POST",
@@ -192,7 +194,7 @@
             return
 
     async def read_load(self):
-        """Return the engine's report; see `Engine.read_load`."""
+        """Return the engine's load; see `Engine.read_load`."""
         answer = await self._control.fetch(
             "GET", self.address, "/load", timeout_s=LOAD_TIMEOUT_S
         )
@@ -225,7 +227,7 @@
         return events, data["next"]
 
     async def send_order(self, fence, action, **fields):
-        """Give a fenced order; see `Engine.send_order`."""
+        """Send a placement order; see `Engine.send_order`."""
         answer = await self._control.fetch(
             "POST",
             self.address,
@@ -240,7 +242,7 @@
 
 
 async def _parse_stream(stream, generation):
-    position = generation.resume_tokens
+    next_index = generation.resume_tokens
     while True:
         lines = await stream.read_lines()
         if not lines:
@@ -254,22 +256,22 @@
             if event.get("done"):
                 end = End(event["finish_reason"], event["tokens"])
                 break
-            # A token that comes twice, or before its turn, would garble the answer.
-            if event.get("index") == position + len(texts):
+            # Ignore duplicate and out-of-order tokens.
+            if event.get("index") == next_index + len(texts):
                 texts.append(event["text"])
         if texts:
-            yield Tokens(position, texts)
-            position += len(texts)
+            yield Tokens(next_index, texts)
+            next_index += len(texts)
         if end is not None:
             yield end
             return
 
 
 def _parse_line(line, generation):
-    """Return a line of this very attempt, or None.
+    """Return the decoded line, or None if it is invalid or of another attempt.
 
-    An engine may still send what an earlier attempt asked for, or mix up two
-    answers; a caller would read another caller's text.
+    This guards against engines that send tokens of an earlier attempt or of another
+    request.
     """
     try:
         event = orjson.loads(line)
@@ -284,7 +286,7 @@
     return event
 
 
-def _explain_status(stream):
+def _make_status_refusal(stream):
     if stream.status == 404:
         return verdict.Refusal(
             503,
--- a/pimentowick/external/hosts.py
+++ b/pimentowick/external/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list: which hosts live and which are leaving."""
+"""Client for the platform's host list (service discovery)."""
 
 import abc
 import dataclasses
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """One host as the platform lists it, some seconds ago.
+    """Host as listed by the platform; the list may be seconds out of date.
 
     Attributes:
         name: Name of the host.
         role: ``entry`` or ``agent``.
-        address: ``IP:port`` of the process of this package there.
+        address: ``IP:port`` of the entry or agent on the host.
         failure_domain: Name of the failure domain.
-        leaving: Whether the host is about to go.
+        leaving: Whether the host is about to be removed.
     """
 
     name: str
@@ -30,50 +30,49 @@
 
 
 class HostList(abc.ABC):
-    """The host list as the rest of the package sees it."""
+    """Interface of the host list."""
 
     @abc.abstractmethod
     async def read(self):
-        """Return the list of `Host`.
+        """Return a list of `Host`.
 
         Raises:
-            UnavailableError: The host list gave no usable answer.
+            UnavailableError: The service did not respond successfully.
         """
 
 
 class HttpHostList(HostList):
-    """The host list over HTTP, as docs/PLATFORM.md describes it.
+    """Host list with the HTTP interface described in docs/PLATFORM.md.
 
-    A list that did not change since the last read is not sent again if the service
-    knows entity tags; with thousands of hosts it would be most of the traffic.
+    If the service supports entity tags, an unchanged list is not transferred again.
     """
 
     def __init__(self, address, client):
         self.address = address
         self._client = client
-        self._tag = None
+        self._etag = None
         self._hosts = []
 
     async def read(self):
-        """Return the list of `Host`; see `HostList.read`."""
-        headers = {} if self._tag is None else {"If-None-Match": self._tag}
+        """Return a list of `Host`; see `HostList.read`."""
+        headers = {} if self._etag is None else {"If-None-Match": self._etag}
         answer = await self._client.fetch(
             "GET", self.address, "/hosts", headers=headers, timeout_s=READ_TIMEOUT_S
         )
-        if answer.status == 304 and self._tag is not None:
+        if answer.status == 304 and self._etag is not None:
             return self._hosts
         if answer.status != 200:
             raise exception.UnavailableError(f"The host list answered {answer.status}.")
-        self._hosts = [_parse_host(entry) for entry in answer.decode()["hosts"]]
-        self._tag = answer.headers.get("Etag")
+        self._hosts = [_parse_host(row) for row in answer.decode()["hosts"]]
+        self._etag = answer.headers.get("Etag")
         return self._hosts
 
 
-def _parse_host(entry):
+def _parse_host(row):
     return Host(
-        name=entry["host"],
-        role=entry["role"],
-        address=entry["address"],
-        failure_domain=entry["failure_domain"],
-        leaving=entry["state"] != "live",
+        name=row["host"],
+        role=row["role"],
+        address=row["address"],
+        failure_domain=row["failure_domain"],
+        leaving=row["state"] != "live",
     )
--- a/pimentowick/external/log.py
+++ b/pimentowick/external/log.py
@@ -1,8 +1,8 @@
-"""The platform's append-only log.
+"""Client for the platform's append-only log service.
 
-Only what every such service offers is assumed: records in one order a stream,
-offsets, a limited time of keeping. Nothing is refused by content, so whether a
-record takes effect is decided by the readers' folds.
+The service is assumed to offer totally ordered streams of records with offsets and a
+limited retention, but no conditional appends. The state machines of the readers
+determine whether a record takes effect.
 """
 
 import abc
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Some consecutive records of a stream.
+    """Consecutive records of a stream.
 
     Attributes:
-        records: List of ``(offset, record)``.
-        first: Oldest offset that the log still keeps.
-        head: Offset that the next append gets.
+        records: List of ``(offset, record)`` tuples.
+        first: Oldest retained offset.
+        head: Offset of the next appended record.
     """
 
     records: list
@@ -36,44 +36,43 @@
 
 
 class Log(abc.ABC):
-    """The log service as the rest of the package sees it."""
+    """Interface of the log service."""
 
     @abc.abstractmethod
     async def append(self, stream, records):
-        """Append `records` to `stream`, all or none.
+        """Append `records` to `stream` atomically.
 
         Returns:
-            The offset of the first of them.
+            Offset of the first appended record.
 
         Raises:
-            LogThrottledError: The log is over its rate; nothing was appended.
-            LogUnavailableError: No answer came; the append may have happened, and
-                may even happen later.
+            LogThrottledError: The append rate limit was exceeded; nothing was appended.
+            LogUnavailableError: The service did not respond; the records may have been
+                appended or may still be appended later.
         """
 
     @abc.abstractmethod
     async def read(self, stream, offset, limit=READ_LIMIT, wait_s=0.0):
-        """Return the `Page` of at most `limit` records from `offset` on.
+        """Return a `Page` of at most `limit` records, starting at `offset`.
 
         Args:
             stream: Name of the stream.
-            offset: First offset wanted; older than the oldest one kept means
-                that one.
-            limit: Most records to return.
-            wait_s: How long the log may hold the answer while there is nothing
-                to return, in seconds.
+            offset: First offset to return; raised to the oldest retained offset.
+            limit: Maximum number of records.
+            wait_s: Maximum time for which the service waits for a record if there is
+                none to return (long polling), in seconds.
 
         Raises:
-            LogUnavailableError: No answer came.
+            LogUnavailableError: The service did not respond.
         """
 
 
 class HttpLog(Log):
-    """The log over HTTP, as docs/PLATFORM.md describes it.
+    """Log service with the HTTP interface described in docs/PLATFORM.md.
 
     Args:
         address: ``IP:port`` of the service.
-        client: `pimentowick.client.Client` to send with.
+        client: `pimentowick.client.Client` for the requests.
     """
 
     def __init__(self, address, client):
@@ -81,7 +80,7 @@
         self._client = client
 
     async def append(self, stream, records):
-        """Append `records`; see `Log.append`."""
+        """Append records; see `Log.append`."""
         try:
             answer = await self._client.fetch(
                 "POST",
@@ -101,7 +100,7 @@
         return answer.decode()["first"]
 
     async def read(self, stream, offset, limit=READ_LIMIT, wait_s=0.0):
-        """Return records; see `Log.read`."""
+        """Read records; see `Log.read`."""
         path = f"/streams/{stream}/records?from={offset}&limit={limit}&wait={wait_s:g}"
         try:
             answer = await self._client.fetch(
@@ -112,15 +111,15 @@
         if answer.status != 200:
             raise exception.LogUnavailableError(f"The log answered {answer.status}.")
         data = _decode(answer)
-        records = [(entry["offset"], entry["record"]) for entry in data["records"]]
+        records = [(row["offset"], row["record"]) for row in data["records"]]
         return Page(records, data["first"], data["head"])
 
 
 def _decode(answer):
-    """Return the data of an answer.
+    """Return the decoded body of a response.
 
-    One record with broken text, such as half of a surrogate pair, must not keep
-    the readers from all that comes after it. The strict decoder refuses it.
+    Falls back to a lenient decoder, so that a record with an unpaired surrogate does
+    not prevent the following records from being read.
     """
     try:
         return answer.decode()
@@ -133,7 +132,7 @@
 
 
 def make_id():
-    """Return a random id for a record, which makes a repeated append harmless.
+    """Return a random record id, by which readers deduplicate retried appends.
 
     Examples:
         >>> len(make_id())
--- a/pimentowick/external/service.py
+++ b/pimentowick/external/service.py
@@ -1,4 +1,4 @@
-"""The plain service beside an agent."""
+"""Client for a plain service that runs beside an agent."""
 
 import abc
 import dataclasses
@@ -8,8 +8,8 @@
 
 __all__ = ["HttpService", "Service", "ServiceCall", "ServiceResponse"]
 
-# Headers that belong to one connection, or that the answer is framed with anew.
-HOP_HEADERS = frozenset(
+# Hop-by-hop headers and headers that are set anew when the response is forwarded.
+HOP_BY_HOP_HEADERS = frozenset(
     [
         "connection",
         "content-length",
@@ -18,7 +18,7 @@
         "server",
         "transfer-encoding",
         "upgrade",
-        # Added by tornado's client, not by the peer.
+        # Added by tornado's client, not sent by the service.
         "x-http-reason",
     ]
 )
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """One call to a plain service."""
+    """Request to a plain service."""
 
     request_id: str
     method: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """The whole answer of a plain service."""
+    """Complete response of a plain service."""
 
     status: int
     headers: dict
@@ -48,26 +48,26 @@
 
 
 class Service(abc.ABC):
-    """A plain service as the agent sees it."""
+    """Interface of a plain service."""
 
     @abc.abstractmethod
     async def call(self, call):
-        """Return the `ServiceResponse` to a `ServiceCall`.
+        """Send a `ServiceCall` and return the `ServiceResponse`.
 
         Raises:
-            RefusedError: No whole answer came; the refusal carries the verdict.
+            RefusedError: The service did not respond completely.
         """
 
 
 class HttpService(Service):
-    """A plain service over HTTP, as docs/PLATFORM.md describes it."""
+    """Plain service with the HTTP interface described in docs/PLATFORM.md."""
 
     def __init__(self, address, client):
         self.address = address
         self._client = client
 
     async def call(self, call):
-        """Return the answer to a call; see `Service.call`."""
+        """Send a call; see `Service.call`."""
         headers = dict(call.headers)
         headers["X-Request-Id"] = call.request_id
         if call.idempotency_key is not None:
@@ -81,25 +81,24 @@
                 body,
                 headers,
                 timeout_s=call.deadline_s,
-                # A pooled connection may be dead without anybody knowing, and a
-                # service sends nothing while it works: the call would be lost, and
-                # that would show at its deadline only. The service is on this host,
-                # so that a connection costs little.
+                # A service sends nothing until it responds, so a call on a broken
+                # pooled connection would fail only at its deadline. The service runs
+                # on the same host, where new connections are cheap.
                 new_connection=True,
             )
         except http_client.TransportError as error:
             if error.timed_out:
-                # A caller that allows little time is no sign of a lost service.
-                timed_out = verdict.make_deadline_refusal(error.verdict)
-                raise exception.RefusedError(timed_out) from error
+                # A deadline that passed does not imply a failure of the service.
+                refusal = verdict.make_deadline_refusal(error.verdict)
+                raise exception.RefusedError(refusal) from error
             raise exception.RefusedError(
                 verdict.Refusal(
                     502, "target_lost", str(error), error.verdict, retry_after=1.0
                 )
             ) from error
-        kept = {
+        forwarded = {
             name: value
             for name, value in answer.headers.items()
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
         }
-        return ServiceResponse(answer.status, kept, answer.body)
+        return ServiceResponse(answer.status, forwarded, answer.body)
--- a/pimentowick/external/tests/test_adapter.py
+++ b/pimentowick/external/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Another log behind the same abstract class, and nothing else changed."""
+"""Tests of custom adapters."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 
 
 class MemoryLog(external_log.Log):
-    """A log that all entries of this process share, without any HTTP."""
+    """In-memory log shared by all entries of this process."""
 
     streams = collections.defaultdict(list)
     appended = asyncio.Event()
@@ -22,18 +22,18 @@
 
     async def append(self, stream, records):
         """Append `records`."""
-        kept = self.streams[stream]
-        kept.extend(records)
+        stored = self.streams[stream]
+        stored.extend(records)
         self.appended.set()
-        return len(kept) - len(records)
+        return len(stored) - len(records)
 
     async def read(self, stream, offset, limit=500, wait_s=0.0):
         """Return records."""
         if offset >= len(self.streams[stream]) and wait_s:
             await self._wait(wait_s)
-        kept = self.streams[stream]
-        page = list(enumerate(kept))[offset : offset + limit]
-        return external_log.Page(page, 0, len(kept))
+        stored = self.streams[stream]
+        page = list(enumerate(stored))[offset : offset + limit]
+        return external_log.Page(page, 0, len(stored))
 
     async def _wait(self, wait_s):
         self.appended.clear()
--- a/pimentowick/external/tests/test_log.py
+++ b/pimentowick/external/tests/test_log.py
@@ -1,4 +1,4 @@
-"""What readers of the log get to see."""
+"""Tests of the client for the log service."""
 
 import asyncio
 
@@ -8,24 +8,20 @@
 
 
 def test_broken_text_in_a_record_hides_no_other_record():
-    """Somebody writes a record whose text ends in half of a surrogate pair.
-
-    Each read that holds it would fail, and the reader would stand still before it
-    for good, with all jobs of the shard.
-    """
+    """A record with an unpaired surrogate must not prevent reads of other records."""
 
     async def check():
-        kept = fake_log.Log()
+        log = fake_log.Log()
         client = http_client.Client(4)
-        await kept.start()
+        await log.start()
         await client.start()
         try:
-            kept.append("s", [{"text": "\ud800"}, {"text": "whole"}])
-            page = await external_log.HttpLog(kept.address, client).read("s", 0)
+            log.append("s", [{"text": "\ud800"}, {"text": "whole"}])
+            page = await external_log.HttpLog(log.address, client).read("s", 0)
             assert [record["text"] for _, record in page.records] == ["\ud800", "whole"]
             assert page.head == 2
         finally:
             await client.close()
-            await kept.close()
+            await log.close()
 
     asyncio.run(check())
--- a/pimentowick/external/weights.py
+++ b/pimentowick/external/weights.py
@@ -1,4 +1,4 @@
-"""The platform's weight store, which gives out weights at a limited rate."""
+"""Client for the platform's weight store, which has a limited transfer rate."""
 
 import abc
 import dataclasses
@@ -10,11 +10,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Weights:
-    """Weights that were transferred.
+    """Transferred weights of a model or adapter.
 
     Attributes:
         name: Name of the model or adapter.
-        version: Its version.
+        version: Version of the weights.
         size: Size in bytes.
     """
 
@@ -24,25 +24,25 @@
 
 
 class WeightStore(abc.ABC):
-    """The weight store as the rest of the package sees it."""
+    """Interface of the weight store."""
 
     @abc.abstractmethod
     async def transfer(self, name, version):
-        """Transfer weights to this host, and return their `Weights`.
+        """Transfer weights to this host and return their `Weights`.
 
         Raises:
-            ValidationError: The store has no such weights.
-            UnavailableError: The transfer did not end.
+            ValidationError: The store does not have these weights.
+            UnavailableError: The transfer failed or timed out.
         """
 
 
 class HttpWeightStore(WeightStore):
-    """The weight store over HTTP, as docs/PLATFORM.md describes it.
+    """Weight store with the HTTP interface described in docs/PLATFORM.md.
 
     Args:
         address: ``IP:port`` of the service.
-        client: `pimentowick.client.Client` to fetch with.
-        timeout_s: Longest time of one transfer, in seconds.
+        client: `pimentowick.client.Client` for the requests.
+        timeout_s: Timeout of a transfer, in seconds.
     """
 
     def __init__(self, address, client, timeout_s):
--- a/pimentowick/load/__init__.py
+++ b/pimentowick/load/__init__.py
@@ -1,1 +1,1 @@
-"""A load and experiment tool: open-loop traffic, percentiles, comparisons."""
+"""Load generator with open-loop traffic, latency percentiles and comparisons."""
--- a/pimentowick/load/__main__.py
+++ b/pimentowick/load/__main__.py
@@ -31,13 +31,13 @@
     def handle(self):
         """Run the command."""
         model = experiment.Experiment
-        described = settings.load_settings(model, self.argument("experiment"))
+        definition = settings.load_settings(model, self.argument("experiment"))
         tokens = dict(text.split("=", 1) for text in self.option("token"))
-        measured = asyncio.run(run_experiment(described, self.option("entry"), tokens))
-        for line in report.format_report(measured):
+        results = asyncio.run(run_experiment(definition, self.option("entry"), tokens))
+        for line in report.format_report(results):
             self.line(line)
         if self.option("out"):
-            text = json.dumps(measured, indent=1)
+            text = json.dumps(results, indent=1)
             pathlib.Path(self.option("out")).write_text(text, encoding="utf-8")
         return 0
 
@@ -61,18 +61,18 @@
         return 0
 
 
-async def run_experiment(described, entries, tokens, check=None):
-    """Run an experiment and return its report; see `runner.Runner`."""
-    sender = runner.Runner(described, entries, tokens, check)
-    await sender.start()
+async def run_experiment(definition, entries, tokens, is_correct=None):
+    """Run an experiment and return its report; see `pimentowick.load.runner.Runner`."""
+    load_runner = runner.Runner(definition, entries, tokens, is_correct)
+    await load_runner.start()
     try:
-        return await sender.run()
+        return await load_runner.run()
     finally:
-        await sender.close()
+        await load_runner.close()
 
 
 def run():
-    """Run the tool from the command line."""
+    """Run the command line."""
     application = cleo_application.Application("pimentowick-load")
     application.add(RunCommand())
     application.add(CompareCommand())
--- a/pimentowick/load/arrival.py
+++ b/pimentowick/load/arrival.py
@@ -1,7 +1,7 @@
-"""When requests arrive.
+"""Arrival processes.
 
-Arrivals don't wait for answers (an open loop): a slow system gets no fewer requests,
-as with real callers, so that its queue shows.
+The load is open-loop: arrival times are independent of responses, so that an overloaded
+system receives no fewer requests and its queueing delay is measured.
 """
 
 import abc
@@ -10,20 +10,20 @@
 
 
 class Arrival(abc.ABC):
-    """A pattern of arrivals."""
+    """Arrival process."""
 
     @abc.abstractmethod
     def generate(self, rng, duration_s):
-        """Yield the arrival times in seconds from the start, growing.
+        """Yield the arrival times in ascending order, in seconds from the start.
 
         Args:
             rng: `random.Random`.
-            duration_s: Time after which none arrive, in seconds.
+            duration_s: Time after which there are no arrivals, in seconds.
         """
 
 
 class SteadyArrival(Arrival):
-    """One arrival after each equal interval.
+    """Arrivals at equal intervals.
 
     Examples:
         >>> import random
@@ -43,7 +43,7 @@
 
 
 class PoissonArrival(Arrival):
-    """Independent arrivals at a mean rate a second."""
+    """Poisson arrivals with a mean rate per second."""
 
     def __init__(self, rate):
         self._rate = rate
@@ -57,7 +57,7 @@
 
 
 class BurstArrival(Arrival):
-    """Independent arrivals during `on_s`, none during `off_s`, in turn.
+    """Poisson arrivals during `on_s`, alternating with none during `off_s`.
 
     Examples:
         >>> import random
@@ -67,7 +67,7 @@
     """
 
     def __init__(self, rate, on_s, off_s):
-        self._inner = PoissonArrival(rate)
+        self._poisson = PoissonArrival(rate)
         self._on_s = on_s
         self._off_s = off_s
 
@@ -75,7 +75,7 @@
         """Yield the arrival times; see `Arrival.generate`."""
         start = 0.0
         while start < duration_s:
-            for at in self._inner.generate(rng, self._on_s):
+            for at in self._poisson.generate(rng, self._on_s):
                 if start + at < duration_s:
                     yield start + at
             start += self._on_s + self._off_s
--- a/pimentowick/load/experiment.py
+++ b/pimentowick/load/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments, as YAML files describe them."""
+"""Models of the YAML files that define experiments."""
 
 import typing
 
@@ -20,12 +20,12 @@
 Count = typing.Annotated[int, pydantic.Field(ge=1)]
 
 
-class _Model(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class ArrivalSettings(_Model):
-    """Pattern and mean rate of arrivals."""
+class ArrivalSettings(_StrictModel):
+    """Arrival process and mean rate."""
 
     kind: typing.Literal["steady", "poisson", "burst"] = "poisson"
     rate: Positive = pydantic.Field(description="Requests a second, while on.")
@@ -33,16 +33,16 @@
     off_s: Positive = pydantic.Field(3.0, description="Time between bursts.")
 
 
-class PromptSettings(_Model):
-    """Length of prompts, and what they share."""
+class PromptSettings(_StrictModel):
+    """Length and shared prefixes of prompts."""
 
     words: Count = pydantic.Field(30, description="Words that no other prompt shares.")
     prefixes: int = pydantic.Field(0, ge=0, description="Number of shared beginnings.")
     prefix_words: Count = pydantic.Field(200, description="Words of each of them.")
 
 
-class Traffic(_Model):
-    """One stream of online requests."""
+class Traffic(_StrictModel):
+    """A stream of online requests."""
 
     name: str
     workspace: str = pydantic.Field(description="Workspace whose token is used.")
@@ -52,8 +52,8 @@
     max_tokens: Count = 32
 
 
-class Batch(_Model):
-    """One batch job, submitted at the start."""
+class Batch(_StrictModel):
+    """A batch job that is submitted at the start."""
 
     name: str
     workspace: str
@@ -62,8 +62,8 @@
     max_tokens: Count = 32
 
 
-class Experiment(_Model):
-    """A whole experiment."""
+class Experiment(_StrictModel):
+    """An experiment with online traffic and batch jobs."""
 
     seed: int = 0
     duration_s: Positive = 10.0
@@ -73,7 +73,7 @@
 
 
 def make_arrival(settings):
-    """Return the `pimentowick.load.arrival.Arrival` that settings describe."""
+    """Return the `pimentowick.load.arrival.Arrival` for `ArrivalSettings`."""
     if settings.kind == "steady":
         return arrival.SteadyArrival(settings.rate)
     if settings.kind == "poisson":
@@ -82,7 +82,7 @@
 
 
 def make_prompts(settings):
-    """Return the `pimentowick.load.prompt.PromptSource` that settings describe."""
+    """Return the `pimentowick.load.prompt.PromptSource` for `PromptSettings`."""
     if settings.prefixes:
         return prompt.PrefixPrompts(
             settings.prefixes, settings.prefix_words, settings.words
--- a/pimentowick/load/prompt.py
+++ b/pimentowick/load/prompt.py
@@ -1,4 +1,4 @@
-"""What requests ask."""
+"""Generators of synthetic prompts."""
 
 import abc
 import random
@@ -12,15 +12,19 @@
 
 
 class PromptSource(abc.ABC):
-    """Makes prompts."""
+    """Generator of prompts."""
 
     @abc.abstractmethod
     def make(self, rng):
-        """Return a prompt, drawn with a `random.Random`."""
+        """Return a random prompt.
+
+        Args:
+            rng: `random.Random`.
+        """
 
 
 class PlainPrompts(PromptSource):
-    """Prompts that share nothing.
+    """Prompts without shared prefixes.
 
     Examples:
         >>> len(PlainPrompts(words=5).make(random.Random(0)).split())
@@ -36,24 +40,24 @@
 
 
 class PrefixPrompts(PromptSource):
-    """Prompts that begin with one of some long texts, a few of them much used.
+    """Prompts that start with one of several shared prefixes.
 
-    The k-th text is drawn with a weight of 1/k (Zipf's law).
+    The k-th prefix is chosen with a weight of 1/k (Zipf's law).
 
     Args:
-        prefixes: Number of texts.
-        prefix_words: Words of each text.
-        words: Words that follow it.
+        prefixes: Number of prefixes.
+        prefix_words: Number of words of each prefix.
+        words: Number of words after the prefix.
     """
 
     def __init__(self, prefixes, prefix_words, words):
         rng = random.Random(prefixes)
-        plain = PlainPrompts(prefix_words)
-        self._prefixes = [f"{i} {plain.make(rng)}" for i in range(prefixes)]
+        prefix_prompts = PlainPrompts(prefix_words)
+        self._prefixes = [f"{i} {prefix_prompts.make(rng)}" for i in range(prefixes)]
         self._weights = [1.0 / (i + 1) for i in range(prefixes)]
-        self._rest = PlainPrompts(words)
+        self._suffixes = PlainPrompts(words)
 
     def make(self, rng):
         """Return a prompt; see `PromptSource.make`."""
         prefix = rng.choices(self._prefixes, self._weights)[0]
-        return f"{prefix} {self._rest.make(rng)}"
+        return f"{prefix} {self._suffixes.make(rng)}"
--- a/pimentowick/load/report.py
+++ b/pimentowick/load/report.py
@@ -1,4 +1,4 @@
-"""What an experiment measured, and how two experiments compare."""
+"""Reports of experiments, and comparisons of two reports."""
 
 import collections
 import dataclasses
@@ -18,16 +18,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One online request.
+    """Measurements of one online request.
 
     Attributes:
-        traffic: Name of its stream of requests.
+        traffic: Name of the stream of requests.
         outcome: ``answered``, ``wrong`` or the code of the refusal.
         verdict: Verdict of the refusal, or ``ran``.
         first_token_s: Time to the first token, in seconds, or None.
-        total_s: Time to the end of the answer, in seconds.
-        gaps_s: Times between consecutive events with tokens, in seconds.
-        tokens: Tokens received.
+        total_s: Time to the end of the response, in seconds.
+        gaps_s: Times between consecutive reads with tokens, in seconds.
+        tokens: Number of received tokens.
     """
 
     traffic: str
@@ -40,7 +40,7 @@
 
 
 def get_percentile(values, percent):
-    """Return the least value that `percent` in a hundred do not exceed.
+    """Return a percentile by the nearest-rank method.
 
     Examples:
         >>> get_percentile([3, 1, 2, 4], 50)
@@ -55,12 +55,12 @@
 
 
 def make_report(samples, jobs, duration_s):
-    """Return the JSON form of what was measured.
+    """Return the report of an experiment as JSON data.
 
     Args:
         samples: List of `Sample`.
-        jobs: Dictionary from the name of a job to what the entry said of it.
-        duration_s: Length of the experiment, in seconds.
+        jobs: Dictionary of job names to the job objects returned by the entry.
+        duration_s: Duration of the experiment, in seconds.
     """
     groups = collections.defaultdict(list)
     for sample in samples:
@@ -92,7 +92,7 @@
 
 
 def format_report(report):
-    """Return the lines of a table."""
+    """Return a report as lines of text."""
     lines = []
     for name, traffic in report["traffic"].items():
         lines.append(f"{name}: {traffic['requests']} requests, {traffic['outcomes']}")
@@ -109,7 +109,7 @@
 
 
 def compare_reports(base, other):
-    """Return the lines of a table of ratios, `other` over `base`.
+    """Return the ratios of the percentiles of `other` and `base` as lines of text.
 
     Examples:
         >>> def make(seconds):
@@ -122,10 +122,10 @@
     for name, traffic in base["traffic"].items():
         if name not in other["traffic"]:
             continue
-        found = other["traffic"][name]["percentiles"]
+        compared = other["traffic"][name]["percentiles"]
         for measure, values in traffic["percentiles"].items():
             cells = [
-                f"p{p} {_format_ratio(values[str(p)], found[measure][str(p)])}"
+                f"p{p} {_format_ratio(values[str(p)], compared[measure][str(p)])}"
                 for p in PERCENTILES
             ]
             lines.append(f"{name} {measure.removesuffix('_s')}: {'  '.join(cells)}")
--- a/pimentowick/load/runner.py
+++ b/pimentowick/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs an experiment against the entries of a fleet."""
+"""Execution of experiments against the entries of a fleet."""
 
 import asyncio
 import random
@@ -14,30 +14,30 @@
 __all__ = ["Runner"]
 
 CHAT_PATH = "/v1/chat/completions"
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 MAX_CONNECTIONS = 1000
 
 
 class Runner:
-    """Sends the traffic of an experiment and measures the answers.
+    """Sends the traffic of an experiment and measures the responses.
 
     Args:
         experiment: `pimentowick.load.experiment.Experiment`.
-        entries: Addresses of entries, ``IP:port``, used in turn.
-        tokens: Token of each workspace, by its name.
-        check: Function from prompt, maximum of tokens and text of the answer to
-            whether the answer is right, or None to take any whole answer.
+        entries: Addresses of entries, ``IP:port``, used in round-robin order.
+        tokens: Dictionary of workspace names to tokens.
+        is_correct: Function of the prompt, max_tokens and response text that returns
+            whether the response is correct, or None to accept all complete responses.
     """
 
-    def __init__(self, experiment, entries, tokens, check=None):
+    def __init__(self, experiment, entries, tokens, is_correct=None):
         self.samples = []
         self.jobs = {}
         self._experiment = experiment
         self._entries = entries
         self._tokens = tokens
-        self._check = check
+        self._is_correct = is_correct
         self._client = http_client.Client(MAX_CONNECTIONS)
-        self._turn = 0
+        self._entry_counter = 0
 
     async def start(self):
         """Open the connection pool."""
@@ -48,40 +48,42 @@
         await self._client.close()
 
     async def run(self):
-        """Run the experiment, and return the report."""
-        began = time.monotonic()
+        """Run the experiment and return the report."""
+        started_at = time.monotonic()
         jobs = [await self._submit(batch) for batch in self._experiment.batch]
-        streams = [self._send_all(traffic) for traffic in self._experiment.traffic]
-        await asyncio.gather(*streams)
+        senders = [self._send_all(traffic) for traffic in self._experiment.traffic]
+        await asyncio.gather(*senders)
         for batch, job_id in zip(self._experiment.batch, jobs, strict=True):
-            self.jobs[batch.name] = await self._look_up(batch, job_id)
-        return report.make_report(self.samples, self.jobs, time.monotonic() - began)
+            self.jobs[batch.name] = await self._fetch_job(batch, job_id)
+        return report.make_report(
+            self.samples, self.jobs, time.monotonic() - started_at
+        )
 
     def _get_entry(self):
-        self._turn += 1
-        return self._entries[self._turn % len(self._entries)]
+        self._entry_counter += 1
+        return self._entries[self._entry_counter % len(self._entries)]
 
     def _make_headers(self, workspace, **fields):
         return {"Authorization": f"Bearer {self._tokens[workspace]}", **fields}
 
     async def _send_all(self, traffic):
-        # A stream's own generator: the arrivals of one do not depend on the others.
+        # Each stream has its own generator, so that its arrivals are reproducible.
         rng = random.Random(f"{self._experiment.seed}/{traffic.name}")
         prompts = load_experiment.make_prompts(traffic.prompt)
         arrival = load_experiment.make_arrival(traffic.arrival)
-        began = time.monotonic()
-        calls = []
+        started_at = time.monotonic()
+        tasks = []
         for at in arrival.generate(rng, self._experiment.duration_s):
             prompt = prompts.make(rng)
-            await asyncio.sleep(max(0.0, began + at - time.monotonic()))
-            calls.append(asyncio.create_task(self._send(traffic, prompt)))
-        await asyncio.gather(*calls)
+            await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
+            tasks.append(asyncio.create_task(self._send(traffic, prompt)))
+        await asyncio.gather(*tasks)
 
     async def _send(self, traffic, prompt):
         sample = report.Sample(traffic.name, "answered")
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            text = await self._read(traffic, prompt, sample, began)
+            text = await self._read(traffic, prompt, sample, started_at)
         except http_client.TransportError as error:
             sample.outcome = "no_answer"
             sample.verdict = str(error.verdict)
@@ -89,12 +91,14 @@
             sample.outcome = error.refusal.code
             sample.verdict = str(error.refusal.verdict)
         else:
-            if self._check and not self._check(prompt, traffic.max_tokens, text):
+            if self._is_correct and not self._is_correct(
+                prompt, traffic.max_tokens, text
+            ):
                 sample.outcome = "wrong"
-        sample.total_s = time.monotonic() - began
+        sample.total_s = time.monotonic() - started_at
         self.samples.append(sample)
 
-    async def _read(self, traffic, prompt, sample, began):
+    async def _read(self, traffic, prompt, sample, started_at):
         body = {
             "model": traffic.model,
             "messages": [{"role": "user", "content": prompt}],
@@ -108,19 +112,19 @@
             body,
             self._make_headers(traffic.workspace),
             timeout_s=self._experiment.timeout_s,
-            idle_s=IDLE_S,
+            idle_s=IDLE_TIMEOUT_S,
         )
         texts = []
         previous = None
         while True:
             lines = await stream.read_lines()
             if not lines:
-                raise exception.RefusedError(_make_broken())
+                raise exception.RefusedError(_make_truncation_refusal())
             now = time.monotonic()
-            if _take_lines(lines, texts):
+            if _parse_events(lines, texts):
                 return "".join(texts)
             if previous is None:
-                sample.first_token_s = now - began
+                sample.first_token_s = now - started_at
             else:
                 sample.gaps_s.append(now - previous)
             previous = now
@@ -152,7 +156,7 @@
             raise exception.ValidationError(answer.body.decode())
         return answer.decode()["id"]
 
-    async def _look_up(self, batch, job_id):
+    async def _fetch_job(self, batch, job_id):
         answer = await self._client.fetch(
             "GET",
             self._get_entry(),
@@ -162,11 +166,11 @@
         return answer.decode()
 
 
-def _take_lines(lines, texts):
-    """Add the tokens in some event lines, and return whether the answer ended.
+def _parse_events(lines, texts):
+    """Append the tokens of event lines to `texts`; return whether the stream ended.
 
     Raises:
-        RefusedError: One of them is a refusal.
+        RefusedError: An event is a refusal.
     """
     for line in lines:
         data = line.removeprefix(b"data: ")
@@ -179,7 +183,7 @@
     return False
 
 
-def _make_broken():
+def _make_truncation_refusal():
     return verdict.Refusal(
         502, "broken", "The answer broke off.", verdict.Verdict.MAY_HAVE_RUN
     )
--- a/pimentowick/load/tests/test_runner.py
+++ b/pimentowick/load/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""An experiment against an embedded deployment."""
+"""Tests of experiments against an embedded deployment."""
 
 import asyncio
 
@@ -40,16 +40,16 @@
         fleet = embedded.Embedded()
         try:
             await fleet.start()
-            described = experiment.Experiment.model_validate(EXPERIMENT)
+            definition = experiment.Experiment.model_validate(EXPERIMENT)
             entries = [entry.address for entry in fleet.entries.values()]
             return await load_main.run_experiment(
-                described, entries, fleet.tokens, check_text
+                definition, entries, fleet.tokens, check_text
             )
         finally:
             await fleet.close()
 
-    measured = asyncio.run(run())
-    assert measured["traffic"]["calm"]["outcomes"] == {"answered": 20}
-    assert set(measured["traffic"]["burst"]["outcomes"]) == {"answered"}
-    assert measured["jobs"]["night"]["request_counts"]["total"] == 20
-    assert any(line.startswith("calm: 20") for line in report.format_report(measured))
+    results = asyncio.run(run())
+    assert results["traffic"]["calm"]["outcomes"] == {"answered": 20}
+    assert set(results["traffic"]["burst"]["outcomes"]) == {"answered"}
+    assert results["jobs"]["night"]["request_counts"]["total"] == 20
+    assert any(line.startswith("calm: 20") for line in report.format_report(results))
--- a/pimentowick/soak/__init__.py
+++ b/pimentowick/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: real gateway processes, faults from outside, checks of the promises."""
+"""Soak test with fault injection: runs gateway processes and checks invariants."""
--- a/pimentowick/soak/__main__.py
+++ b/pimentowick/soak/__main__.py
@@ -8,13 +8,13 @@
 from cleo import helpers
 from cleo.commands import command
 
-from pimentowick.soak import run, trouble
+from pimentowick.soak import fault_injection, run
 
 __all__ = ["SoakCommand"]
 
 
 class SoakCommand(command.Command):
-    """Runs rounds of the soak and prints what each found."""
+    """Runs rounds of the soak test and prints their findings."""
 
     name = "run"
     description = "Runs gateways under faults and checks what must hold."
@@ -26,22 +26,22 @@
     ]
 
     def handle(self):
-        """Run the command; the status is 1 if a promise did not hold."""
-        first = int(self.option("seed"))
-        kinds = self.option("kind") or sorted(trouble.KINDS)
-        broken = 0
-        for seed in range(first, first + int(self.option("rounds"))):
+        """Run the command; the exit status is 1 if an invariant was violated."""
+        first_seed = int(self.option("seed"))
+        kinds = self.option("kind") or sorted(fault_injection.FAULT_KINDS)
+        violations = 0
+        for seed in range(first_seed, first_seed + int(self.option("rounds"))):
             directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-            soak = run.run_soak(seed, directory, kinds, int(self.option("faults")))
-            found = asyncio.run(soak)
+            coroutine = run.run_soak(seed, directory, kinds, int(self.option("faults")))
+            findings = asyncio.run(coroutine)
             self.line(
-                f"seed {seed}: {found.served} served, {found.jobs} jobs, "
-                f"faults {' '.join(found.faults)}; logs in {directory}"
+                f"seed {seed}: {findings.served} served, {findings.jobs} jobs, "
+                f"faults {' '.join(findings.faults)}; logs in {directory}"
             )
-            for sentence in found.broken:
-                self.line(f"  broken: {sentence}")
-            broken += len(found.broken)
-        return 1 if broken else 0
+            for violation in findings.violations:
+                self.line(f"  broken: {violation}")
+            violations += len(findings.violations)
+        return 1 if violations else 0
 
 
 def main():
--- /dev/null
+++ b/pimentowick/soak/fault_injection.py
@@ -0,0 +1,126 @@
+"""Fault injection: signals to gateways and faults of the fakes."""
+
+import asyncio
+import signal
+
+from pimentowick.fakes import faults, replica, wait
+
+__all__ = ["FAULT_KINDS", "FaultInjector"]
+
+APPEND_PATH = "/-/log-append"
+READY_TIMEOUT_S = 20.0
+READY_POLL_S = 0.05
+
+
+class FaultInjector:
+    """Injects faults sequentially.
+
+    Args:
+        fleet: `pimentowick.soak.fleet.Fleet`.
+        rng: `random.Random`.
+
+    Attributes:
+        injected: List of the kinds of the injected faults.
+    """
+
+    def __init__(self, fleet, rng):
+        self._fleet = fleet
+        self._rng = rng
+        self.injected = []
+
+    async def inject(self, kind):
+        """Inject one fault; return when it has ended or was handed to the fakes."""
+        self.injected.append(kind)
+        await FAULT_KINDS[kind](self)
+
+    def _choose_gateway(self):
+        return self._rng.choice(self._fleet.gateways)
+
+    async def _kill(self):
+        gateway = self._choose_gateway()
+        gateway.send_signal(signal.SIGKILL)
+        await gateway.wait()
+        await gateway.start()
+
+    async def _kill_all(self):
+        for gateway in self._fleet.gateways:
+            gateway.send_signal(signal.SIGKILL)
+        for gateway in self._fleet.gateways:
+            await gateway.wait()
+            await gateway.start()
+
+    async def _pause(self):
+        gateway = self._choose_gateway()
+        gateway.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(self._rng.uniform(1.0, 4.0))
+        gateway.send_signal(signal.SIGCONT)
+
+    async def _stop(self):
+        gateway = self._choose_gateway()
+        gateway.send_signal(signal.SIGTERM)
+        await gateway.wait()
+        await gateway.start()
+
+    async def _send_sighup(self):
+        gateway = self._choose_gateway()
+        # SIGHUP terminates a process that has not installed its signal handler yet.
+        await wait.wait_for(
+            lambda: self._fleet.is_ready(gateway), READY_TIMEOUT_S, READY_POLL_S
+        )
+        gateway.send_signal(signal.SIGHUP)
+
+    async def _stop_store(self):
+        await self._inject_store_fault(faults.Order("down"))
+
+    async def _slow_store(self):
+        await self._inject_store_fault(faults.Order("slow", seconds=0.4))
+
+    async def _inject_store_fault(self, order):
+        board = self._fleet.store.board
+        board.place(order)
+        await asyncio.sleep(self._rng.uniform(1.0, 3.0))
+        board.orders.remove(order)
+
+    async def _drop_responses(self):
+        count = self._rng.randint(1, 6)
+        self._fleet.store.board.place(
+            faults.Order("lose_answer", count=count, path=APPEND_PATH)
+        )
+
+    async def _delay_appends(self):
+        self._fleet.store.late_s = self._rng.uniform(0.5, 2.0)
+        await asyncio.sleep(1.0)
+        self._fleet.store.late_s = None
+
+    async def _stall_connections(self):
+        self._fleet.store.board.freeze(faults.Order("freeze"))
+
+    async def _break_responses(self):
+        for each in self._fleet.replicas:
+            each.plan += [
+                replica.Behaviour(cut_after=self._rng.randint(0, 8), half_event=True),
+                replica.Behaviour("vanish"),
+                replica.Behaviour("refuse"),
+                replica.Behaviour("unsigned"),
+            ]
+
+    async def _rebalance_groups(self):
+        for group in self._fleet.store.groups.values():
+            group.members.clear()
+            group.generation += 1
+
+
+FAULT_KINDS = {
+    "kill": FaultInjector._kill,
+    "kill_all": FaultInjector._kill_all,
+    "freeze": FaultInjector._pause,
+    "stop": FaultInjector._stop,
+    "hang_up": FaultInjector._send_sighup,
+    "store_down": FaultInjector._stop_store,
+    "store_slow": FaultInjector._slow_store,
+    "lose_answers": FaultInjector._drop_responses,
+    "late_appends": FaultInjector._delay_appends,
+    "silent_connections": FaultInjector._stall_connections,
+    "break_answers": FaultInjector._break_responses,
+    "deal_anew": FaultInjector._rebalance_groups,
+}
--- a/pimentowick/soak/fleet.py
+++ b/pimentowick/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, before stand-ins of the platform in this process."""
+"""Gateway processes, and fakes of the platform that run in this process."""
 
 import asyncio
 import os
@@ -14,29 +14,30 @@
 
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
-POLL_S = 0.05
-GRACE_S = 6
+READY_POLL_S = 0.05
+GRACE_PERIOD_S = 6
 
 
 def make_ip(number, pid):
-    """Return the IP number of a gateway of the soak that a process runs.
+    """Return the loopback address of a gateway.
 
-    Two soaks at one address would reach each other's gateways, with other stores.
+    The address depends on the id of the process that runs the soak test, so that
+    concurrent runs do not reach each other's gateways.
 
     Examples:
         >>> make_ip(0, 1000), make_ip(2, 1001)
         ('127.5.0.1', '127.5.1.3')
     """
-    # Processes that run side by side have identifiers nearer than 62,500.
+    # Unique if the ids of concurrent processes differ by less than 62,500.
     return f"127.{pid // 250 % 250 + 1}.{pid % 250}.{number + 1}"
 
 
 class GatewayProcess:
-    """One gateway at an IP number of loopback of its own.
+    """Gateway process with its own loopback address.
 
     Args:
-        number: Number of the gateway, from 0.
-        directory: Where its settings and its log go.
+        number: Index of the gateway, starting at 0.
+        directory: Directory of its settings and log file.
         store_address: ``IP:port`` of the store.
     """
 
@@ -50,14 +51,14 @@
             f"node_name=gateway-{number}\nip={self.ip}\nzone=here\n"
             f"listen.front={self.address}\nlisten.ready={self.ready_address}\n"
             f"port_range=7660,7675\nplatform.address={store_address}\n"
-            f"bounds.grace_s={GRACE_S}\n",
+            f"bounds.grace_s={GRACE_PERIOD_S}\n",
             encoding="utf-8",
         )
         self._process = None
 
     @property
     def is_running(self):
-        """Whether the process is there."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self):
@@ -72,39 +73,39 @@
                 env={**os.environ, "PIMENTOWICK_NODE_FILE": str(self._settings_path)},
             )
 
-    def send(self, number):
+    def send_signal(self, number):
         """Send a signal."""
         if self.is_running:
             self._process.send_signal(number)
 
     async def wait(self):
-        """Wait for the end of the process; return its status."""
+        """Wait for the process to exit and return its exit status."""
         return await asyncio.wait_for(self._process.wait(), STOP_TIMEOUT_S)
 
     async def close(self):
-        """End the process."""
+        """Kill the process."""
         if self.is_running:
-            self.send(signal.SIGCONT)
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGCONT)
+            self.send_signal(signal.SIGKILL)
             await self.wait()
 
     def read_log(self):
-        """Return what the process has logged."""
+        """Return the log output of the process."""
         return self._log_path.read_text(encoding="utf-8", errors="replace")
 
 
 class Fleet:
-    """Store, replicas and gateways.
+    """Fake store, fake replicas and gateway processes.
 
     Args:
-        directory: Where settings and logs go.
+        directory: Directory of settings and log files.
         gateways: Number of gateways.
-        replicas: Number of replicas that stream.
+        replicas: Number of replicas.
     """
 
     def __init__(self, directory, gateways=3, replicas=3):
         self._directory = directory
-        self._count = gateways
+        self._gateway_count = gateways
         self.store = platform_store.PlatformStore()
         self.replicas = [
             replica.Replica(f"i-{n}", events=12, gap_s=0.02) for n in range(replicas)
@@ -113,7 +114,7 @@
         self.client = http_client.Client(max_connections=200)
 
     async def start(self):
-        """Start everything and wait until all gateways are ready."""
+        """Start the fleet and wait until all gateways are ready."""
         await self.client.start()
         await self.store.start()
         for each in self.replicas:
@@ -128,21 +129,23 @@
         ]
         data = {"version": 1, "routes": routes, "services": [{"name": "lm"}]}
         self.store.put("keyed.op", "config", data)
-        for number in range(self._count):
+        for number in range(self._gateway_count):
             gateway = GatewayProcess(number, self._directory, self.store.address)
             self.gateways.append(gateway)
             await gateway.start()
         await self.wait_ready()
 
     async def wait_ready(self):
-        """Wait until all gateways say that they are ready."""
+        """Wait until all gateways report that they are ready."""
         for gateway in self.gateways:
             await wait.wait_for(
-                lambda gateway=gateway: self.is_ready(gateway), READY_TIMEOUT_S, POLL_S
+                lambda gateway=gateway: self.is_ready(gateway),
+                READY_TIMEOUT_S,
+                READY_POLL_S,
             )
 
     async def is_ready(self, gateway):
-        """Return whether a gateway says that it is ready."""
+        """Return whether a gateway reports that it is ready."""
         try:
             answer = await self.client.fetch(
                 "GET", gateway.ready_address, "/-/readiness", timeout_s=1.0
@@ -152,7 +155,7 @@
         return answer.status == 200
 
     async def close(self):
-        """End everything."""
+        """Stop the fleet."""
         for gateway in self.gateways:
             await gateway.close()
         for each in self.replicas:
