--- a/pimentowick/agent/daemon.py
+++ b/pimentowick/agent/daemon.py
@@ -175,8 +175,8 @@
         """Cancel active requests and close all connections."""
         await self._supervisor.close()
         await self.orders.close()
-        for each in list(self.running):
-            each.cancel()
+        for request_handler in list(self.running):
+            request_handler.cancel()
         await self._server.close()
         await self._client.close()
         await self._control_client.close()
@@ -201,18 +201,23 @@
         self.stopped_jobs[job] = None
         if len(self.stopped_jobs) > MAX_STOPPED_JOBS:
             self.stopped_jobs.popitem(last=False)
-        items = [each for each in self.running if each.work.envelope.job == job]
-        for each in items:
-            each.cancel()
+        items = [
+            request_handler
+            for request_handler in self.running
+            if request_handler.work.envelope.job == job
+        ]
+        for request_handler in items:
+            request_handler.cancel()
         while not self.running.isdisjoint(items):
             await asyncio.sleep(0)
         return len(items)
 
     def _cancel_batch_items(self, holder):
         items = [
-            each
-            for each in self.running
-            if each.work.is_batch and each.work.envelope.entry == holder
+            request_handler
+            for request_handler in self.running
+            if request_handler.work.is_batch
+            and request_handler.work.envelope.entry == holder
         ]
         if items:
             logger.warning(
@@ -220,14 +225,14 @@
                 holder,
                 len(items),
             )
-        for each in items:
-            each.cancel()
+        for request_handler in items:
+            request_handler.cancel()
 
     async def _send_keepalives(self):
         while True:
             await asyncio.sleep(self.settings.alive_s)
-            for each in list(self.running):
-                each.send_keepalive()
+            for request_handler in list(self.running):
+                request_handler.send_keepalive()
 
     async def _poll_load(self):
         while True:
@@ -267,10 +272,10 @@
         """
         self._heartbeat_times.pop(entry, None)
         self._heartbeat_times[entry] = time.monotonic()
-        answer = self.describe()
-        if known_version != answer["version"]:
-            return answer
-        return {key: answer[key] for key in answer if key not in self._static_report}
+        report = self.describe()
+        if known_version != report["version"]:
+            return report
+        return {key: report[key] for key in report if key not in self._static_report}
 
     def _describe_static(self):
         target = self.settings.target
@@ -308,10 +313,11 @@
 
     def count_entries(self):
         """Return the number of entries with a recent heartbeat."""
-        limit = time.monotonic() - ENTRY_EXPIRY_S
+        oldest_valid = time.monotonic() - ENTRY_EXPIRY_S
         # Ordered by the time of the last heartbeat.
         while (
-            self._heartbeat_times and next(iter(self._heartbeat_times.values())) < limit
+            self._heartbeat_times
+            and next(iter(self._heartbeat_times.values())) < oldest_valid
         ):
             self._heartbeat_times.pop(next(iter(self._heartbeat_times)))
         return len(self._heartbeat_times)
--- a/pimentowick/agent/handler.py
+++ b/pimentowick/agent/handler.py
@@ -121,13 +121,13 @@
     def post(self):
         """Respond to a heartbeat."""
         data = self.read_json()
-        answer = self.agent.answer_heartbeat(data["entry"], data.get("have"))
-        answer = membership_report.omit_defaults(answer)
+        report = self.agent.answer_heartbeat(data["entry"], data.get("have"))
+        report = membership_report.omit_defaults(report)
         if data.get("renew") is not None:
-            answer["lease"] = self.agent.leases.renew(data["entry"], data["renew"])
+            report["lease"] = self.agent.leases.renew(data["entry"], data["renew"])
         for name in OMITTED_HEADERS:
             self.clear_header(name)
-        self.write_json(answer)
+        self.write_json(report)
 
     def compute_etag(self):
         """Return None, as responses are not cached."""
@@ -163,8 +163,8 @@
         except exception.ValidationError as error:
             self.write_json({"error": str(error)}, 400)
         except exception.ConflictError as error:
-            answer = {"error": str(error), "fence": orders.fence, "boot": orders.boot}
-            self.write_json(answer, 409)
+            body = {"error": str(error), "fence": orders.fence, "boot": orders.boot}
+            self.write_json(body, 409)
 
 
 class HealthHandler(AgentHandler):
--- a/pimentowick/agent/work.py
+++ b/pimentowick/agent/work.py
@@ -262,13 +262,13 @@
         """
         await admission.admit_online(self.ticket, self.envelope.deadline_s)
         try:
-            answer = await target.call(self.call)
+            response = await target.call(self.call)
         finally:
             admission.release_online(self.ticket)
         yield frame.make_response(
             self.envelope.request_id,
             self.envelope.attempt,
-            answer.status,
-            answer.headers,
-            answer.body,
+            response.status,
+            response.headers,
+            response.body,
         )
--- a/pimentowick/completion.py
+++ b/pimentowick/completion.py
@@ -91,8 +91,8 @@
     return "\n".join(lines)
 
 
-def _make_unknown_name_error(kind, name, known):
-    names = ", ".join(sorted(known)) or "none"
+def _make_unknown_name_error(kind, name, known_names):
+    names = ", ".join(sorted(known_names)) or "none"
     return exception.RefusedError(
         verdict.Refusal(
             404,
--- a/pimentowick/external/engine.py
+++ b/pimentowick/external/engine.py
@@ -195,12 +195,12 @@
 
     async def read_load(self):
         """Return the engine's load; see `Engine.read_load`."""
-        answer = await self._control.fetch(
+        response = await self._control.fetch(
             "GET", self.address, "/load", timeout_s=LOAD_TIMEOUT_S
         )
-        if answer.status != 200:
-            raise exception.UnavailableError(f"The engine answered {answer.status}.")
-        data = answer.decode()
+        if response.status != 200:
+            raise exception.UnavailableError(f"The engine answered {response.status}.")
+        data = response.decode()
         return EngineLoad(
             running=data["running"],
             waiting=data["waiting"],
@@ -211,34 +211,34 @@
 
     async def read_cache_events(self, start):
         """Return cache events; see `Engine.read_cache_events`."""
-        answer = await self._control.fetch(
+        response = await self._control.fetch(
             "GET",
             self.address,
             f"/cache-events?from={start}",
             timeout_s=LOAD_TIMEOUT_S,
         )
-        if answer.status != 200:
-            raise exception.UnavailableError(f"The engine answered {answer.status}.")
-        data = answer.decode()
+        if response.status != 200:
+            raise exception.UnavailableError(f"The engine answered {response.status}.")
+        data = response.decode()
         events = [
-            CacheEvent(each["sequence"], each["kind"], each["block"])
-            for each in data["events"]
+            CacheEvent(row["sequence"], row["kind"], row["block"])
+            for row in data["events"]
         ]
         return events, data["next"]
 
     async def send_order(self, fence, action, **fields):
         """Send a placement order; see `Engine.send_order`."""
-        answer = await self._control.fetch(
+        response = await self._control.fetch(
             "POST",
             self.address,
             "/orders",
             {"fence": fence, "action": action, **fields},
             timeout_s=ORDER_TIMEOUT_S,
         )
-        if answer.status == 409:
+        if response.status == 409:
             raise exception.ConflictError("The engine has seen a newer order.")
-        if answer.status != 200:
-            raise exception.UnavailableError(f"The engine answered {answer.status}.")
+        if response.status != 200:
+            raise exception.UnavailableError(f"The engine answered {response.status}.")
 
 
 async def _parse_stream(stream, generation):
--- a/pimentowick/external/hosts.py
+++ b/pimentowick/external/hosts.py
@@ -56,15 +56,17 @@
     async def read(self):
         """Return a list of `Host`; see `HostList.read`."""
         headers = {} if self._etag is None else {"If-None-Match": self._etag}
-        answer = await self._client.fetch(
+        response = await self._client.fetch(
             "GET", self.address, "/hosts", headers=headers, timeout_s=READ_TIMEOUT_S
         )
-        if answer.status == 304 and self._etag is not None:
+        if response.status == 304 and self._etag is not None:
             return self._hosts
-        if answer.status != 200:
-            raise exception.UnavailableError(f"The host list answered {answer.status}.")
-        self._hosts = [_parse_host(row) for row in answer.decode()["hosts"]]
-        self._etag = answer.headers.get("Etag")
+        if response.status != 200:
+            raise exception.UnavailableError(
+                f"The host list answered {response.status}."
+            )
+        self._hosts = [_parse_host(row) for row in response.decode()["hosts"]]
+        self._etag = response.headers.get("Etag")
         return self._hosts
 
 
--- a/pimentowick/external/log.py
+++ b/pimentowick/external/log.py
@@ -82,7 +82,7 @@
     async def append(self, stream, records):
         """Append records; see `Log.append`."""
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 "POST",
                 self.address,
                 f"/streams/{stream}/records",
@@ -91,42 +91,42 @@
             )
         except http_client.TransportError as error:
             raise exception.LogUnavailableError(str(error)) from error
-        if answer.status == 429:
+        if response.status == 429:
             raise exception.LogThrottledError("The log is over its append rate.")
-        if answer.status == 413:
+        if response.status == 413:
             raise exception.ValidationError("A record is too large for the log.")
-        if answer.status != 200:
-            raise exception.LogUnavailableError(f"The log answered {answer.status}.")
-        return answer.decode()["first"]
+        if response.status != 200:
+            raise exception.LogUnavailableError(f"The log answered {response.status}.")
+        return response.decode()["first"]
 
     async def read(self, stream, offset, limit=READ_LIMIT, wait_s=0.0):
         """Read records; see `Log.read`."""
         path = f"/streams/{stream}/records?from={offset}&limit={limit}&wait={wait_s:g}"
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 "GET", self.address, path, timeout_s=READ_TIMEOUT_S + wait_s
             )
         except http_client.TransportError as error:
             raise exception.LogUnavailableError(str(error)) from error
-        if answer.status != 200:
-            raise exception.LogUnavailableError(f"The log answered {answer.status}.")
-        data = _decode(answer)
+        if response.status != 200:
+            raise exception.LogUnavailableError(f"The log answered {response.status}.")
+        data = _decode(response)
         records = [(row["offset"], row["record"]) for row in data["records"]]
         return Page(records, data["first"], data["head"])
 
 
-def _decode(answer):
+def _decode(response):
     """Return the decoded body of a response.
 
     Falls back to a lenient decoder, so that a record with an unpaired surrogate does
     not prevent the following records from being read.
     """
     try:
-        return answer.decode()
+        return response.decode()
     except exception.ValidationError:
         pass
     try:
-        return json.loads(answer.body)
+        return json.loads(response.body)
     except ValueError as error:
         raise exception.LogUnavailableError("The log's answer is broken.") from error
 
--- a/pimentowick/external/service.py
+++ b/pimentowick/external/service.py
@@ -74,7 +74,7 @@
             headers["Idempotency-Key"] = call.idempotency_key
         body = call.body if call.method in ("POST", "PUT", "PATCH") else None
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 call.method,
                 self.address,
                 call.path,
@@ -98,7 +98,7 @@
             ) from error
         forwarded = {
             name: value
-            for name, value in answer.headers.items()
+            for name, value in response.headers.items()
             if name.lower() not in HOP_BY_HOP_HEADERS
         }
-        return ServiceResponse(answer.status, forwarded, answer.body)
+        return ServiceResponse(response.status, forwarded, response.body)
--- a/pimentowick/external/tests/test_adapter.py
+++ b/pimentowick/external/tests/test_adapter.py
@@ -50,9 +50,9 @@
         fleet = embedded.Embedded(entry_settings={"platform": platform})
         try:
             await fleet.start()
-            answer = await fleet.submit(embedded.make_job_lines(10), "k")
-            await fleet.wait_for_job(answer.decode()["id"])
-            assert len(await fleet.read_results(answer.decode()["id"])) == 10
+            response = await fleet.submit(embedded.make_job_lines(10), "k")
+            await fleet.wait_for_job(response.decode()["id"])
+            assert len(await fleet.read_results(response.decode()["id"])) == 10
             assert not fleet.log._streams
         finally:
             await fleet.close()
--- a/pimentowick/external/weights.py
+++ b/pimentowick/external/weights.py
@@ -52,17 +52,17 @@
 
     async def transfer(self, name, version):
         """Transfer weights; see `WeightStore.transfer`."""
-        answer = await self._client.fetch(
+        response = await self._client.fetch(
             "GET",
             self.address,
             f"/weights/{name}/{version}",
             timeout_s=self._timeout_s,
         )
-        if answer.status == 404:
+        if response.status == 404:
             raise exception.ValidationError(f"There are no weights {name}/{version}.")
-        if answer.status != 200:
+        if response.status != 200:
             raise exception.UnavailableError(
-                f"The weight store answered {answer.status}."
+                f"The weight store answered {response.status}."
             )
-        data = answer.decode()
+        data = response.decode()
         return Weights(data["name"], data["version"], data["bytes"])
--- a/pimentowick/load/arrival.py
+++ b/pimentowick/load/arrival.py
@@ -50,10 +50,10 @@
 
     def generate(self, rng, duration_s):
         """Yield the arrival times; see `Arrival.generate`."""
-        at = rng.expovariate(self._rate)
-        while at < duration_s:
-            yield at
-            at += rng.expovariate(self._rate)
+        arrival_s = rng.expovariate(self._rate)
+        while arrival_s < duration_s:
+            yield arrival_s
+            arrival_s += rng.expovariate(self._rate)
 
 
 class BurstArrival(Arrival):
@@ -62,7 +62,7 @@
     Examples:
         >>> import random
         >>> times = list(BurstArrival(50.0, 1.0, 3.0).generate(random.Random(0), 8.0))
-        >>> all(at % 4.0 < 1.0 for at in times)
+        >>> all(arrival_s % 4.0 < 1.0 for arrival_s in times)
         True
     """
 
@@ -75,7 +75,7 @@
         """Yield the arrival times; see `Arrival.generate`."""
         start = 0.0
         while start < duration_s:
-            for at in self._poisson.generate(rng, self._on_s):
-                if start + at < duration_s:
-                    yield start + at
+            for arrival_s in self._poisson.generate(rng, self._on_s):
+                if start + arrival_s < duration_s:
+                    yield start + arrival_s
             start += self._on_s + self._off_s
--- a/pimentowick/load/runner.py
+++ b/pimentowick/load/runner.py
@@ -73,9 +73,9 @@
         arrival = load_experiment.make_arrival(traffic.arrival)
         started_at = time.monotonic()
         tasks = []
-        for at in arrival.generate(rng, self._experiment.duration_s):
+        for arrival_s in arrival.generate(rng, self._experiment.duration_s):
             prompt = prompts.make(rng)
-            await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + arrival_s - time.monotonic()))
             tasks.append(asyncio.create_task(self._send(traffic, prompt)))
         await asyncio.gather(*tasks)
 
@@ -144,7 +144,7 @@
             rows.append(orjson.dumps({"custom_id": str(number), "body": body}))
         key = f"{batch.name}-{time.time_ns()}"
         headers = self._make_headers(batch.workspace, **{"Idempotency-Key": key})
-        answer = await self._client.fetch(
+        response = await self._client.fetch(
             "POST",
             self._get_entry(),
             "/v1/batches",
@@ -152,18 +152,18 @@
             headers,
             timeout_s=self._experiment.timeout_s,
         )
-        if answer.status != 202:
-            raise exception.ValidationError(answer.body.decode())
-        return answer.decode()["id"]
+        if response.status != 202:
+            raise exception.ValidationError(response.body.decode())
+        return response.decode()["id"]
 
     async def _fetch_job(self, batch, job_id):
-        answer = await self._client.fetch(
+        response = await self._client.fetch(
             "GET",
             self._get_entry(),
             f"/v1/batches/{job_id}",
             headers=self._make_headers(batch.workspace),
         )
-        return answer.decode()
+        return response.decode()
 
 
 def _parse_events(lines, texts):
--- a/pimentowick/metrics.py
+++ b/pimentowick/metrics.py
@@ -22,15 +22,15 @@
     def __init__(self):
         self.registry = aioprometheus.Registry()
 
-    def _add_counter(self, name, text):
-        return aioprometheus.Counter(name, text, registry=self.registry)
+    def _add_counter(self, name, help_text):
+        return aioprometheus.Counter(name, help_text, registry=self.registry)
 
-    def _add_gauge(self, name, text):
-        return aioprometheus.Gauge(name, text, registry=self.registry)
+    def _add_gauge(self, name, help_text):
+        return aioprometheus.Gauge(name, help_text, registry=self.registry)
 
-    def _add_histogram(self, name, text):
+    def _add_histogram(self, name, help_text):
         return aioprometheus.Histogram(
-            name, text, registry=self.registry, buckets=LATENCY_BUCKETS_S
+            name, help_text, registry=self.registry, buckets=LATENCY_BUCKETS_S
         )
 
     def update(self, daemon):
@@ -57,25 +57,25 @@
         self._resumed = self._add_counter(
             "pimentowick_agent_resumed_total", "Preempted items that got a place again."
         )
-        self._wait = self._add_histogram(
+        self._wait_time = self._add_histogram(
             "pimentowick_agent_wait_seconds", "Time until a request got its place."
         )
         self._running = self._add_gauge(
             "pimentowick_agent_running_requests", "Requests at the target."
         )
-        self._step = self._add_gauge(
+        self._step_time = self._add_gauge(
             "pimentowick_agent_step_seconds", "Last step of the engine as reported."
         )
 
     def count_admitted(self, priority, wait_s):
         """Count a request that was admitted after waiting for `wait_s` seconds."""
         self._admitted.inc({"priority": priority})
-        self._wait.add({"priority": priority}, wait_s)
+        self._wait_time.add({"priority": priority}, wait_s)
 
     def count_resumed(self, wait_s):
         """Count a preempted item that was readmitted after `wait_s` seconds."""
         self._resumed.inc({})
-        self._wait.add({"priority": "preempted"}, wait_s)
+        self._wait_time.add({"priority": "preempted"}, wait_s)
 
     def count_answered(self, priority):
         """Count a request that received a complete response."""
@@ -91,7 +91,7 @@
         self._preempted.set({}, admission.preemptions)
         self._running.set({"priority": "online"}, len(admission.online))
         self._running.set({"priority": "batch"}, len(admission.batch))
-        self._step.set({}, daemon.load.step_ms / 1000)
+        self._step_time.set({}, daemon.load.step_ms / 1000)
 
 
 class EntryMetrics(_Metrics):
@@ -105,7 +105,7 @@
         self._refusals = self._add_counter(
             "pimentowick_entry_refusals_total", "Refusals by reason and verdict."
         )
-        self._seconds = self._add_histogram(
+        self._response_time = self._add_histogram(
             "pimentowick_entry_answer_seconds", "Time to the end of each answer."
         )
         self._retries = self._add_counter(
@@ -120,7 +120,7 @@
         self._checkpoints = self._add_counter(
             "pimentowick_entry_checkpoints_total", "Checkpoints that this entry wrote."
         )
-        self._carried = self._add_counter(
+        self._reappended = self._add_counter(
             "pimentowick_entry_carried_total",
             "Records appended again before the log drops them.",
         )
@@ -134,7 +134,7 @@
         self._reads = self._add_counter(
             "pimentowick_entry_log_reads_total", "Reads of the log by outcome."
         )
-        self._append_wait = self._add_histogram(
+        self._append_time = self._add_histogram(
             "pimentowick_entry_log_append_seconds", "Time until an append was answered."
         )
 
@@ -145,10 +145,10 @@
         self._fenced = self._add_counter(
             "pimentowick_entry_fenced_total", "Records read whose epoch was over."
         )
-        self._version = self._add_gauge(
+        self._configuration_version = self._add_gauge(
             "pimentowick_entry_configuration_version_offset", "Version in force."
         )
-        self._lag = self._add_gauge(
+        self._configuration_lag = self._add_gauge(
             "pimentowick_entry_configuration_lag_seconds",
             "Age of the last read that reached the head of the configuration.",
         )
@@ -168,7 +168,7 @@
 
     def count_reappended(self, number):
         """Count records that were appended again before their retention ended."""
-        self._carried.add({}, number)
+        self._reappended.add({}, number)
 
     def count_request(self, outcome):
         """Count an online request as ``answered`` or by the code of its refusal."""
@@ -177,7 +177,7 @@
     def observe_answer(self, handler):
         """Record a finished request; a log function of `tornado.web.Application`."""
         labels = {"handler": type(handler).__name__}
-        self._seconds.add(labels, handler.request.request_time())
+        self._response_time.add(labels, handler.request.request_time())
         refusal = getattr(handler, "refusal", None)
         if refusal is not None:
             verdict = str(refusal.verdict)
@@ -198,7 +198,7 @@
     def count_append(self, outcome, wait_s):
         """Count an append as ``done``, ``full``, ``too_large`` or ``unknown``."""
         self._appends.inc({"outcome": outcome})
-        self._append_wait.add({}, wait_s)
+        self._append_time.add({}, wait_s)
 
     def count_read(self, outcome):
         """Count a read of the log as ``done`` or ``unavailable``."""
@@ -210,10 +210,10 @@
         followed = daemon.table.followed.values()
         self._ejections.set({}, daemon.fleet.ejections)
         self._fenced.set({}, sum(shard.ledger.fenced for shard in followed))
-        self._version.set({}, daemon.configuration.version)
+        self._configuration_version.set({}, daemon.configuration.version)
         fresh_at = daemon.configuration_replica.fresh_at
         if fresh_at is not None:
-            self._lag.set({}, time.monotonic() - fresh_at)
+            self._configuration_lag.set({}, time.monotonic() - fresh_at)
         self._running.set({}, daemon.limits.running)
         self._shards.set({}, len(owned))
         jobs = sum(len(shard.ledger.list_open_jobs()) for shard in owned)
--- a/pimentowick/settings.py
+++ b/pimentowick/settings.py
@@ -311,10 +311,10 @@
     """Return the line of the deepest existing node on the path `keys`."""
     line = 1 if node is None else node.start_mark.line + 1
     for key in keys:
-        found = _find_child(node, key)
-        if found is None:
+        child = _find_child(node, key)
+        if child is None:
             return line
-        line, node = found
+        line, node = child
     return line
 
 
--- a/pimentowick/soak/fleet.py
+++ b/pimentowick/soak/fleet.py
@@ -147,12 +147,12 @@
     async def is_ready(self, gateway):
         """Return whether a gateway reports that it is ready."""
         try:
-            answer = await self.client.fetch(
+            response = await self.client.fetch(
                 "GET", gateway.ready_address, "/-/readiness", timeout_s=1.0
             )
         except exception.UnavailableError:
             return False
-        return answer.status == 200
+        return response.status == 200
 
     async def close(self):
         """Stop the fleet."""
--- a/pimentowick/soak/run.py
+++ b/pimentowick/soak/run.py
@@ -63,7 +63,9 @@
         callers = []
         await self.fleet.start()
         try:
-            callers = [asyncio.create_task(self._call()) for _ in range(CALLER_COUNT)]
+            callers = [
+                asyncio.create_task(self._send_requests()) for _ in range(CALLER_COUNT)
+            ]
             callers.append(asyncio.create_task(self._submit_jobs()))
             injector = fault_injection.FaultInjector(self.fleet, self.rng)
             for _ in range(count):
@@ -75,7 +77,7 @@
             await self._restart_exited()
             await self.fleet.wait_ready()
             await self._check_jobs()
-            self._check_runs()
+            self._check_executions()
         finally:
             for caller in callers:
                 caller.cancel()
@@ -94,7 +96,7 @@
             timeout_s=REQUEST_TIMEOUT_S,
         )
 
-    async def _call(self):
+    async def _send_requests(self):
         while not self._stopping.is_set():
             request_id = f"r{next(self._counter)}"
             path = self.rng.choice(["/chat/1", "/draft/1"])
@@ -102,19 +104,21 @@
                 self.at_most_once.add(request_id)
             headers = {REQUEST_ID_HEADER: request_id, DEADLINE_HEADER: "6000"}
             try:
-                answer = await self._send("POST", path, b"x", headers)
+                response = await self._send("POST", path, b"x", headers)
             except exception.UnavailableError:
                 pass
             else:
-                self._check_response(request_id, answer)
+                self._check_response(request_id, response)
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
-    def _check_response(self, request_id, answer):
-        if answer.status == 200:
+    def _check_response(self, request_id, response):
+        if response.status == 200:
             self.findings.served += 1
-            if answer.body != EXPECTED_BODY:
-                self._report(f"{request_id}: a success with {answer.body[:80]!r}")
-        elif answer.status in (429, 503):
+            if response.body != EXPECTED_BODY:
+                self._add_violation(
+                    f"{request_id}: a success with {response.body[:80]!r}"
+                )
+        elif response.status in (429, 503):
             self.refused.add(request_id)
 
     async def _submit_jobs(self):
@@ -132,22 +136,22 @@
         body = orjson.dumps({"items": rows})
         for _ in range(MAX_JOB_SUBMISSIONS):
             try:
-                answer = await self._send(
+                response = await self._send(
                     "POST", "/lot/1", body, {REQUEST_ID_HEADER: job_id}
                 )
             except exception.UnavailableError:
                 await asyncio.sleep(REQUEST_INTERVAL_S)
                 continue
-            if answer.status == 202:
+            if response.status == 202:
                 self.accepted[job_id] = set(names)
                 return
             await asyncio.sleep(REQUEST_INTERVAL_S)
-        self._report(f"{job_id}: never accepted")
+        self._add_violation(f"{job_id}: never accepted")
 
     async def _restart_exited(self):
         for gateway in self.fleet.gateways:
             if not gateway.is_running:
-                self._report(f"{gateway.ip}: ended by itself")
+                self._add_violation(f"{gateway.ip}: ended by itself")
                 await gateway.start()
 
     async def _check_jobs(self):
@@ -159,19 +163,21 @@
                     await self._read_complete_results(job_id, gateway, len(names))
                 )
             if any(page != pages[0] for page in pages):
-                self._report(f"{job_id}: gateways list it differently")
+                self._add_violation(f"{job_id}: gateways list it differently")
             rows = pages[0] or []
             if {row["id"] for row in rows} != names or len(rows) != len(names):
-                self._report(f"{job_id}: {len(rows)} of {len(names)} items are listed")
+                self._add_violation(
+                    f"{job_id}: {len(rows)} of {len(names)} items are listed"
+                )
             if any(
                 (row["state"], row["text"]) != ("done", EXPECTED_TEXT) for row in rows
             ):
-                self._report(f"{job_id}: a result is not whole")
+                self._add_violation(f"{job_id}: a result is not whole")
 
     async def _read_complete_results(self, job_id, gateway, count):
         async def read():
             try:
-                answer = await self.fleet.client.fetch(
+                response = await self.fleet.client.fetch(
                     "GET",
                     gateway.address,
                     f"/-/lots/{job_id}?after=0",
@@ -180,11 +186,11 @@
                 )
             except exception.UnavailableError:
                 return None
-            if answer.status == 404:
-                self._report(f"{job_id}: unknown at {gateway.ip}")
+            if response.status == 404:
+                self._add_violation(f"{job_id}: unknown at {gateway.ip}")
                 return [[]]
-            data = orjson.loads(answer.body)
-            complete = answer.status == 200 and len(data["results"]) == count
+            data = orjson.loads(response.body)
+            complete = response.status == 200 and len(data["results"]) == count
             return [data["results"]] if complete else None
 
         try:
@@ -193,18 +199,18 @@
             return None
         return rows
 
-    def _check_runs(self):
+    def _check_executions(self):
         runs = {}
         for each in self.fleet.replicas:
             for request_id, count in each.runs.items():
                 runs[request_id] = runs.get(request_id, 0) + count
         for request_id in self.refused & set(runs):
-            self._report(f"{request_id}: refused, and it ran")
+            self._add_violation(f"{request_id}: refused, and it ran")
         for request_id in self.at_most_once:
             if runs.get(request_id, 0) > 1:
-                self._report(f"{request_id}: ran {runs[request_id]} times")
+                self._add_violation(f"{request_id}: ran {runs[request_id]} times")
 
-    def _report(self, violation):
+    def _add_violation(self, violation):
         self.findings.violations.append(violation)
 
 
--- a/pimentowick/web.py
+++ b/pimentowick/web.py
@@ -198,7 +198,7 @@
 
 
 class _TrackingServer(DrainingServer):
-    """Tracks the connections with a request that is not completely answered."""
+    """Tracks the connections with an incomplete request or response."""
 
     # Tornado's configurable classes use initialize instead of __init__.
     def initialize(self, application, max_body_bytes, **kwargs):
@@ -274,11 +274,11 @@
         self._server.stop()
 
     def count_active_requests(self):
-        """Return the number of requests that are not completely answered."""
+        """Return the number of requests without a completely sent response."""
         return 0 if self._server is None else len(self._server.active_connections)
 
     async def drain(self, timeout_s):
-        """Wait until all requests are completely answered.
+        """Wait until the responses to all requests have been sent.
 
         Args:
             timeout_s: Maximum wait, in seconds.
