--- a/pimentowick/client.py
+++ b/pimentowick/client.py
@@ -7,8 +7,8 @@
   whether the peer may have executed the request.
 - It prevents libcurl from resending a request when a pooled connection closes before
   the first byte of the response, as the peer may have executed it already.
-- After a timeout it stops reusing the open connections to that peer. A fault that
-  breaks one connection, such as lost NAT state, usually breaks the others as well.
+- After a timeout it stops reusing the open connections to that peer, since a fault that
+  breaks one connection usually breaks the others as well.
 """
 
 import asyncio
@@ -78,7 +78,7 @@
             raise exception.ValidationError("The answer is not JSON.") from error
 
 
-class _Transfer:
+class _TransferState:
     """Send state of one request, updated by libcurl's callbacks."""
 
     def __init__(self):
@@ -217,7 +217,7 @@
         Raises:
             TransportError: If no complete response was received.
         """
-        transfer = _Transfer()
+        transfer = _TransferState()
         request = self._build_request(
             transfer, method, address, path, body, headers, timeout_s, new_connection
         )
@@ -374,7 +374,7 @@
         self.address = address
         self.idle_s = idle_s
         self.status = None
-        self.transfer = _Transfer()
+        self.transfer = _TransferState()
         self.task = None
         self._client = client
         self._request = None
--- a/pimentowick/soak/__main__.py
+++ b/pimentowick/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak: ``python -m pimentowick.soak run --seed 1 --rounds 5``."""
+"""Run the soak test: ``python -m pimentowick.soak run --seed 1 --rounds 5``."""
 
 import asyncio
 import pathlib
--- a/pimentowick/verdict.py
+++ b/pimentowick/verdict.py
@@ -13,9 +13,9 @@
     """Whether a request was executed at its target, as far as known."""
 
     NOT_RUN = "not_run"
-    """The request was not sent to the target; a retry is safe."""
+    """No part of the request can have reached the target; a retry is safe."""
     MAY_HAVE_RUN = "may_have_run"
-    """The request was sent, but the outcome is unknown."""
+    """The request may have reached the target; its outcome is unknown."""
     RAN = "ran"
     """The target responded."""
 
