--- a/pimentowick/entry/handler.py
+++ b/pimentowick/entry/handler.py
@@ -247,7 +247,7 @@
             ) from error
         handler.set_status(answer.status)
         for field, value in answer.headers.items():
-            if field.lower() not in external_service.HOP_HEADERS:
+            if field.lower() not in external_service.HOP_BY_HOP_HEADERS:
                 handler.set_header(field, value)
         handler.finish(answer.body)
         return
