--- a/pimentowick/batch/call.py
+++ b/pimentowick/batch/call.py
@@ -84,7 +84,7 @@
             # A claim that takes effect after the request's deadline is useless.
             append_timeout_s = min(self._settings.append_s, timeout_s)
             await shard.replica.append([claim], append_timeout_s)
-        except exception.LogFullError as error:
+        except exception.LogThrottledError as error:
             raise _make_unclaimed_error(str(error)) from error
         except exception.LogUnavailableError as error:
             # The claim may be in the log or still reach it. It would then block all
--- a/pimentowick/batch/dispatch.py
+++ b/pimentowick/batch/dispatch.py
@@ -179,7 +179,7 @@
             timeout_s=STOP_TIMEOUT_S,
             # A pooled connection may be half-open. The request would then be lost, and
             # the caller would wait until all leases have expired.
-            fresh=True,
+            new_connection=True,
         )
 
     async def _cancel_tasks(self, active_job):
--- a/pimentowick/batch/relocation.py
+++ b/pimentowick/batch/relocation.py
@@ -110,4 +110,4 @@
     async def _append_group(self, replica, group):
         if group:
             await checkpoint_writer.append_with_retry(replica, group)
-            self._metrics.count_carried(len(group))
+            self._metrics.count_reappended(len(group))
--- a/pimentowick/batch/writer.py
+++ b/pimentowick/batch/writer.py
@@ -141,7 +141,7 @@
             await buffer.shard.replica.log.append(
                 buffer.shard.stream, [buffer.unconfirmed]
             )
-        except exception.LogFullError:
+        except exception.LogThrottledError:
             # The append rate of all entries is exceeded; retrying at once adds load.
             await asyncio.sleep(LOG_FULL_BACKOFF_S)
             return False
--- a/pimentowick/cli/connection.py
+++ b/pimentowick/cli/connection.py
@@ -53,8 +53,8 @@
             timeout_s: Timeout of each attempt, in seconds.
 
         Returns:
-            `result.Result` that holds a `pimentowick.client.Answer` with a status below
-            300, or the `pimentowick.cli.outcome.Failure` of the last attempt.
+            `result.Result` that holds a `pimentowick.client.Response` with a status
+            below 300, or the `pimentowick.cli.outcome.Failure` of the last attempt.
         """
         headers = {"Authorization": f"Bearer {self._token}", **(headers or {})}
         last_failure = None
@@ -72,7 +72,13 @@
     async def _fetch_from(self, address, method, path, body, headers, timeout_s):
         try:
             response = await self._client.fetch(
-                method, address, path, body, headers, timeout_s=timeout_s, fresh=True
+                method,
+                address,
+                path,
+                body,
+                headers,
+                timeout_s=timeout_s,
+                new_connection=True,
             )
         except http_client.TransportError as error:
             return result.Failure(_make_transport_failure(error))
@@ -83,7 +89,7 @@
     async def fetch_json(self, method, path, body=None, **options):
         """Send a request like `fetch`, and decode the body of the response as JSON."""
         response = await self.fetch(method, path, body, **options)
-        return response.map(http_client.Answer.decode)
+        return response.map(http_client.Response.decode)
 
 
 def add_query(path, **parameters):
--- a/pimentowick/cli/tests/test_commands.py
+++ b/pimentowick/cli/tests/test_commands.py
@@ -239,9 +239,9 @@
         )
         response = await shell.run("host", "drain", "lm-0", "--yes")
         assert response["host"] == "agent-lm-0"
-        assert fleet.agents["agent-lm-0"].stop_orders.begun
+        assert fleet.agents["agent-lm-0"].shutdown_requests.requested
         await shell.run("host", "drain", "entry-1", "--yes")
-        assert fleet.entries["entry-1"].stop_orders.begun
+        assert fleet.entries["entry-1"].shutdown_requests.requested
         records = (await shell.run("audit", "--kind", "order"))["audit"]
         assert [record["name"] for record in records] == ["agent-lm-0", "entry-1"]
         assert all(record["accepted"] and record["by"] == "test" for record in records)
@@ -266,7 +266,7 @@
         await fleet.log.close()
         failure = await shell.run("host", "drain", "lm-0", "--yes", expected_code=5)
         assert "SIGTERM" in failure["error"]["message"]
-        assert not fleet.agents["agent-lm-0"].stop_orders.begun
+        assert not fleet.agents["agent-lm-0"].shutdown_requests.requested
 
     run(tmp_path, check, entry_settings={"append_s": 0.5})
 
@@ -310,7 +310,7 @@
         drain = ("host", "drain", "lm-0", "--yes")
         failure = await shell.run(*drain, expected_code=ExitCode.UNKNOWN)
         assert failure["error"]["code"] == "unknown_outcome"
-        assert not fleet.agents["agent-lm-0"].stop_orders.begun
+        assert not fleet.agents["agent-lm-0"].shutdown_requests.requested
         await server.close()
 
     run(tmp_path, check)
--- a/pimentowick/entry/configuration.py
+++ b/pimentowick/entry/configuration.py
@@ -38,7 +38,9 @@
         """Respond with the current version of the document."""
         document = self.entry.configuration.get_document(kind, name)
         if document is None:
-            raise http_web.refuse_input(f"There is no {kind} {name!r}.", "unknown", 404)
+            raise http_web.make_input_error(
+                f"There is no {kind} {name!r}.", "unknown", 404
+            )
         self.write_json(
             {
                 "kind": kind,
@@ -74,7 +76,7 @@
     async def _append(self, record):
         try:
             return await self.entry.publish(record)
-        except exception.LogFullError as error:
+        except exception.LogThrottledError as error:
             raise exception.RefusedError(
                 verdict.Refusal(503, "log_full", f"{error} Try again.", retry_after=1.0)
             ) from error
--- a/pimentowick/entry/daemon.py
+++ b/pimentowick/entry/daemon.py
@@ -59,7 +59,7 @@
             differs between restarts.
         state: ``starting``, ``ready``, ``draining`` while the readiness check fails but
             requests are still accepted, or ``stopping``.
-        stop_orders: The `pimentowick.daemon.StopOrders` of the process.
+        shutdown_requests: The `pimentowick.daemon.ShutdownRequests` of the process.
         configuration: The
             `pimentowick.configuration.state_machine.ConfigurationStateMachine`.
     """
@@ -68,7 +68,7 @@
         self.settings = settings
         self.owner = f"{settings.name}#{secrets.token_hex(4)}"
         self.state = STARTING
-        self.stop_orders = process_daemon.StopOrders()
+        self.shutdown_requests = process_daemon.ShutdownRequests()
         self.metrics = process_metrics.EntryMetrics()
         self.limits = limits.ConcurrencyLimits(settings.max_online)
         # Separate connection pools, so that no class of traffic blocks another.
@@ -240,7 +240,8 @@
     async def drain(self):
         """Fail the readiness check, finish running requests and release the shards."""
         logger.info(
-            "entry: Draining with {} running requests.", self._server.count_busy()
+            "entry: Draining with {} running requests.",
+            self._server.count_active_requests(),
         )
         self.state = DRAINING
         loop = asyncio.get_running_loop()
--- a/pimentowick/entry/handler.py
+++ b/pimentowick/entry/handler.py
@@ -216,7 +216,7 @@
         RefusedError: The body is larger than `MAX_ONLINE_BYTES`.
     """
     if len(body) > MAX_ONLINE_BYTES:
-        raise http_web.refuse_input(
+        raise http_web.make_input_error(
             f"An online body holds at most {MAX_ONLINE_BYTES} bytes. Shorten it.",
             "too_large",
             413,
@@ -251,7 +251,7 @@
             ) from error
         handler.set_status(answer.status)
         for field, value in answer.headers.items():
-            if field.lower() not in external_service.HOP_HEADERS:
+            if field.lower() not in external_service.HOP_BY_HOP_HEADERS:
                 handler.set_header(field, value)
         handler.finish(answer.body)
         return
@@ -278,7 +278,7 @@
         body,
         headers,
         timeout_s=timeout_s,
-        fresh=request.method != "GET",
+        new_connection=request.method != "GET",
     )
 
 
@@ -302,4 +302,4 @@
     except pydantic.ValidationError as error:
         details = error.errors()[0]
         path = ".".join(str(part) for part in details["loc"])
-        raise http_web.refuse_input(f"{path}: {details['msg']}.") from error
+        raise http_web.make_input_error(f"{path}: {details['msg']}.") from error
--- a/pimentowick/entry/online.py
+++ b/pimentowick/entry/online.py
@@ -35,9 +35,9 @@
     try:
         remaining_s = float(text) - time.time()
     except ValueError as error:
-        raise http_web.refuse_input("X-Deadline must be epoch seconds.") from error
+        raise http_web.make_input_error("X-Deadline must be epoch seconds.") from error
     if not remaining_s > 0:
-        raise http_web.refuse_input("X-Deadline has passed.", "deadline_passed")
+        raise http_web.make_input_error("X-Deadline has passed.", "deadline_passed")
     return min(remaining_s, limit_s)
 
 
@@ -81,7 +81,7 @@
                 async with asyncio.timeout(deadline_s + DEADLINE_MARGIN_S):
                     await self._response_task
             except TimeoutError as error:
-                expired = verdict.make_expired(verdict.Verdict.MAY_HAVE_RUN)
+                expired = verdict.make_deadline_refusal(verdict.Verdict.MAY_HAVE_RUN)
                 raise exception.RefusedError(expired) from error
             except asyncio.CancelledError:
                 raise iostream.StreamClosedError from None
--- a/pimentowick/entry/tests/test_online.py
+++ b/pimentowick/entry/tests/test_online.py
@@ -398,7 +398,7 @@
         )
         await fleet.wait_for(lambda: entry.limits.running)
         await fleet.wait_for(lambda: not entry.limits.running, timeout_s=8.0)
-        await fleet.wait_for(lambda: not entry._server.count_busy())
+        await fleet.wait_for(lambda: not entry._server.count_active_requests())
         writer.close()
 
     run(check, entries=1, engines=1)
--- a/pimentowick/gateway/policy/report_relay.py
+++ b/pimentowick/gateway/policy/report_relay.py
@@ -288,4 +288,4 @@
 
 
 def _weigh(entry):
-    return rendezvous.weigh(entry.failure_domain, entry.address)
+    return rendezvous.compute_weight(entry.failure_domain, entry.address)
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -94,7 +94,7 @@
     fetcher = gateway._peer_configuration
 
     async def fetch(*args, **kwargs):
-        return http_client.Answer(200, body, {})
+        return http_client.Response(200, body, {})
 
     fetcher._client.fetch = fetch
     return feed, fetcher
--- a/pimentowick/metrics.py
+++ b/pimentowick/metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of the daemons, in the Prometheus text format.
+"""Metrics of the daemons in the Prometheus text format.
 
-Units stand in the names. No label holds a workspace, a job or a request: their number
-is not bounded. Codes and verdicts are those of docs/API.md.
+Metric names contain the unit. Labels have bounded cardinality, so none contains a
+workspace, job or request. Codes and verdicts are those of docs/API.md.
 
-Counters are counted where something happens; what a daemon knows anyway is read when
-the metrics are asked for.
+Events are counted when they occur; values that the daemon keeps anyway are read when
+the metrics are scraped.
 """
 
 import time
@@ -15,30 +15,30 @@
 
 __all__ = ["AgentMetrics", "EntryMetrics", "MetricsHandler"]
 
-WAIT_BUCKETS_S = [0.001, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0]
+LATENCY_BUCKETS_S = [0.001, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0]
 
 
 class _Metrics:
     def __init__(self):
         self.registry = aioprometheus.Registry()
 
-    def _add_counter(self, name, text):
-        return aioprometheus.Counter(name, text, registry=self.registry)
+    def _add_counter(self, name, help_text):
+        return aioprometheus.Counter(name, help_text, registry=self.registry)
 
-    def _add_gauge(self, name, text):
-        return aioprometheus.Gauge(name, text, registry=self.registry)
+    def _add_gauge(self, name, help_text):
+        return aioprometheus.Gauge(name, help_text, registry=self.registry)
 
-    def _add_histogram(self, name, text):
+    def _add_histogram(self, name, help_text):
         return aioprometheus.Histogram(
-            name, text, registry=self.registry, buckets=WAIT_BUCKETS_S
+            name, help_text, registry=self.registry, buckets=LATENCY_BUCKETS_S
         )
 
     def update(self, daemon):
-        """Read what `daemon` knows, just before it is shown."""
+        """Copy values from `daemon` into the metrics before they are exported."""
 
 
 class AgentMetrics(_Metrics):
-    """What an agent counts."""
+    """Metrics of an agent."""
 
     def __init__(self):
         super().__init__()
@@ -57,45 +57,45 @@
         self._resumed = self._add_counter(
             "pimentowick_agent_resumed_total", "Preempted items that got a place again."
         )
-        self._wait = self._add_histogram(
+        self._wait_time = self._add_histogram(
             "pimentowick_agent_wait_seconds", "Time until a request got its place."
         )
         self._running = self._add_gauge(
             "pimentowick_agent_running_requests", "Requests at the target."
         )
-        self._step = self._add_gauge(
+        self._step_time = self._add_gauge(
             "pimentowick_agent_step_seconds", "Last step of the engine as reported."
         )
 
     def count_admitted(self, priority, wait_s):
-        """Count a request that got a place after `wait_s` seconds."""
+        """Count a request that was admitted after waiting for `wait_s` seconds."""
         self._admitted.inc({"priority": priority})
-        self._wait.add({"priority": priority}, wait_s)
+        self._wait_time.add({"priority": priority}, wait_s)
 
     def count_resumed(self, wait_s):
-        """Count a preempted item that got a place again after `wait_s` seconds."""
+        """Count a preempted item that was readmitted after `wait_s` seconds."""
         self._resumed.inc({})
-        self._wait.add({"priority": "preempted"}, wait_s)
+        self._wait_time.add({"priority": "preempted"}, wait_s)
 
     def count_answered(self, priority):
-        """Count a request that got a whole answer."""
+        """Count a request that received a complete response."""
         self._answered.inc({"priority": priority})
 
     def count_refused(self, code, verdict):
-        """Count a request that did not."""
+        """Count a request that received no complete response."""
         self._refused.inc({"code": code, "verdict": str(verdict)})
 
     def update(self, daemon):
-        """Read what the `pimentowick.agent.daemon.Agent` knows."""
+        """Copy values from a `pimentowick.agent.daemon.Agent` into the metrics."""
         admission = daemon.admission
         self._preempted.set({}, admission.preemptions)
         self._running.set({"priority": "online"}, len(admission.online))
         self._running.set({"priority": "batch"}, len(admission.batch))
-        self._step.set({}, daemon.load.step_ms / 1000)
+        self._step_time.set({}, daemon.load.step_ms / 1000)
 
 
 class EntryMetrics(_Metrics):
-    """What an entry counts."""
+    """Metrics of an entry."""
 
     def __init__(self):
         super().__init__()
@@ -105,7 +105,7 @@
         self._refusals = self._add_counter(
             "pimentowick_entry_refusals_total", "Refusals by reason and verdict."
         )
-        self._seconds = self._add_histogram(
+        self._response_time = self._add_histogram(
             "pimentowick_entry_answer_seconds", "Time to the end of each answer."
         )
         self._retries = self._add_counter(
@@ -120,12 +120,12 @@
         self._checkpoints = self._add_counter(
             "pimentowick_entry_checkpoints_total", "Checkpoints that this entry wrote."
         )
-        self._carried = self._add_counter(
+        self._reappended = self._add_counter(
             "pimentowick_entry_carried_total",
             "Records appended again before the log drops them.",
         )
         self._add_log_metrics()
-        self._add_state()
+        self._add_state_metrics()
 
     def _add_log_metrics(self):
         self._appends = self._add_counter(
@@ -134,21 +134,21 @@
         self._reads = self._add_counter(
             "pimentowick_entry_log_reads_total", "Reads of the log by outcome."
         )
-        self._append_wait = self._add_histogram(
+        self._append_time = self._add_histogram(
             "pimentowick_entry_log_append_seconds", "Time until an append was answered."
         )
 
-    def _add_state(self):
+    def _add_state_metrics(self):
         self._ejections = self._add_counter(
             "pimentowick_entry_ejections_total", "Agents that got no work for a while."
         )
         self._fenced = self._add_counter(
             "pimentowick_entry_fenced_total", "Records read whose epoch was over."
         )
-        self._version = self._add_gauge(
+        self._configuration_version = self._add_gauge(
             "pimentowick_entry_configuration_version_offset", "Version in force."
         )
-        self._lag = self._add_gauge(
+        self._configuration_lag = self._add_gauge(
             "pimentowick_entry_configuration_lag_seconds",
             "Age of the last read that reached the head of the configuration.",
         )
@@ -163,57 +163,57 @@
         )
 
     def count_checkpoint(self):
-        """Count a checkpoint that was written whole."""
+        """Count a completely written checkpoint."""
         self._checkpoints.inc({})
 
-    def count_carried(self, number):
-        """Count records that were appended again."""
-        self._carried.add({}, number)
+    def count_reappended(self, number):
+        """Count records that were appended again before their retention ended."""
+        self._reappended.add({}, number)
 
     def count_request(self, outcome):
-        """Count an online request: ``answered`` or the code of its refusal."""
+        """Count an online request as ``answered`` or by the code of its refusal."""
         self._requests.inc({"outcome": outcome})
 
     def observe_answer(self, handler):
-        """Take notice of a finished request; see `tornado.web.Application`."""
+        """Record a finished request; a log function of `tornado.web.Application`."""
         labels = {"handler": type(handler).__name__}
-        self._seconds.add(labels, handler.request.request_time())
+        self._response_time.add(labels, handler.request.request_time())
         refusal = getattr(handler, "refusal", None)
         if refusal is not None:
             verdict = str(refusal.verdict)
             self._refusals.inc({"code": refusal.code, "verdict": verdict})
 
     def count_retry(self, code):
-        """Count a further attempt, by the code of the refusal before it."""
+        """Count a retry by the code of the previous attempt's refusal."""
         self._retries.inc({"code": code})
 
     def count_item(self, outcome):
-        """Count a batch item that ended."""
+        """Count a finished batch item by outcome."""
         self._items.inc({"outcome": outcome})
 
     def count_claim(self):
-        """Count a claim that came into force."""
+        """Count a shard claim of this entry that took effect."""
         self._claims.inc({})
 
     def count_append(self, outcome, wait_s):
-        """Count an append: ``done``, ``full``, ``too_large`` or ``unknown``."""
+        """Count an append as ``done``, ``full``, ``too_large`` or ``unknown``."""
         self._appends.inc({"outcome": outcome})
-        self._append_wait.add({}, wait_s)
+        self._append_time.add({}, wait_s)
 
     def count_read(self, outcome):
-        """Count a read of the log: ``done`` or ``unavailable``."""
+        """Count a read of the log as ``done`` or ``unavailable``."""
         self._reads.inc({"outcome": outcome})
 
     def update(self, daemon):
-        """Read what the `pimentowick.entry.daemon.Entry` knows."""
+        """Copy values from a `pimentowick.entry.daemon.Entry` into the metrics."""
         owned = daemon.table.list_owned()
         followed = daemon.table.followed.values()
         self._ejections.set({}, daemon.fleet.ejections)
         self._fenced.set({}, sum(shard.ledger.fenced for shard in followed))
-        self._version.set({}, daemon.configuration.version)
+        self._configuration_version.set({}, daemon.configuration.version)
         caught_up_at = daemon.configuration_replica.caught_up_at
         if caught_up_at is not None:
-            self._lag.set({}, time.monotonic() - caught_up_at)
+            self._configuration_lag.set({}, time.monotonic() - caught_up_at)
         self._running.set({}, daemon.limits.running)
         self._shards.set({}, len(owned))
         jobs = sum(len(shard.ledger.list_open_jobs()) for shard in owned)
@@ -221,14 +221,14 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """Shows the metrics of a daemon."""
+    """Exports the metrics of a daemon."""
 
     def initialize(self, daemon):
-        """Take the daemon, whose ``metrics`` are shown."""
+        """Store the daemon whose ``metrics`` are exported."""
         self._daemon = daemon
 
     def get(self):
-        """Answer in the text format."""
+        """Respond with the metrics in the text format."""
         metrics = self._daemon.metrics
         metrics.update(self._daemon)
         content, headers = renderer.render(metrics.registry, ["text/plain"])
--- a/pimentowick/platform/store.py
+++ b/pimentowick/platform/store.py
@@ -351,7 +351,7 @@
         stream = self._client.open_stream(
             "GET", self.address, uri, timeout_s=MAX_READ_S, idle_s=idle_timeout_s
         )
-        return await stream.read_rest()
+        return await stream.read_response()
 
     def _check(self, response):
         if response.status == 200:
--- a/pimentowick/rendezvous.py
+++ b/pimentowick/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a ranking that everybody works out alike.
+"""Rendezvous (highest random weight) hashing.
 
 References:
     D. G. Thaler and C. V. Ravishankar, "Using name-based mappings to increase hit
@@ -7,18 +7,20 @@
 
 import hashlib
 
-__all__ = ["weigh"]
+__all__ = ["compute_weight"]
 
 DIGEST_BYTES = 8
 
 
-def weigh(key, name):
-    """Return the weight of `name` for `key`; the heaviest name comes first.
+def compute_weight(key, name):
+    """Return the weight of `name` for `key`.
 
-    A name that goes moves only the keys that it was first for.
+    A key is assigned to the names in descending order of weight. Removing a name
+    reassigns only the keys for which it had the highest weight.
 
     Examples:
-        >>> weigh(7, "a") == weigh(7, "a"), weigh(7, "a") == weigh(8, "a")
+        >>> weight = compute_weight(7, "a")
+        >>> compute_weight(7, "a") == weight, compute_weight(8, "a") == weight
         (True, False)
     """
     data = f"{key}/{name}".encode()
--- a/pimentowick/replication/replica.py
+++ b/pimentowick/replication/replica.py
@@ -266,7 +266,7 @@
         random, so finding it proves that the append succeeded.
 
         Raises:
-            LogFullError: The log refused the append; it had no effect.
+            LogThrottledError: The log refused the append; it had no effect.
             LogUnavailableError: The outcome of the append is unknown.
         """
         for record in records:
--- a/pimentowick/tests/test_client.py
+++ b/pimentowick/tests/test_client.py
@@ -170,7 +170,7 @@
             stream = client.open_stream("GET", peer.address, "/", idle_s=0.4)
             with pytest.raises(http_client.TransportError) as caught:
                 await stream.read_lines()
-            assert caught.value.silent
+            assert caught.value.stalled
             assert caught.value.verdict is verdict.Verdict.MAY_HAVE_RUN
 
     asyncio.run(check())
@@ -188,7 +188,7 @@
             await peer.wait_for(lambda: peer.requests)
             error = await fetch_error(client, peer.address, timeout_s=0.1)
             assert error.verdict is verdict.Verdict.NOT_RUN
-            assert client.peak_waiting == 1
+            assert client.peak_queued == 1
             stream.abort()
             assert peer.requests == [0]
 
@@ -206,7 +206,7 @@
         async with start_peer("answer") as (peer, client):
             fetches = [client.fetch("GET", peer.address, "/") for _ in range(3)]
             await asyncio.gather(*fetches)
-            client.distrust(peer.address)
+            client.retire_connections(peer.address)
             first_new_connection = peer.opened
             started_at = time.monotonic()
             while time.monotonic() - started_at < REUSE_CHECK_S:
--- a/pimentowick/tests/test_head_of_line.py
+++ b/pimentowick/tests/test_head_of_line.py
@@ -54,9 +54,9 @@
         """Return the number of online requests that were queued, by queue."""
         entries = self.fleet.entries.values()
         return {
-            "entry connections": sum(e._online_client.peak_waiting for e in entries),
+            "entry connections": sum(e._online_client.peak_queued for e in entries),
             "agent connections": sum(
-                agent._client.peak_waiting for agent in self.fleet.agents.values()
+                agent._client.peak_queued for agent in self.fleet.agents.values()
             ),
             "agent queues": self.queued_at_agents,
             "engine slots": sum(
