--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -13,7 +13,7 @@
     decision_log,
     event_stream,
     job,
-    neighbour,
+    load_report,
     record,
     route,
     target,
@@ -56,7 +56,7 @@
 def _measure_datagram(targets):
     """Return the cost of a datagram whose sender has work at so many targets."""
     table = _make_table(targets)
-    found = neighbour.Neighbours(
+    found = load_report.LoadReporter(
         "me:1",
         report_relay.ReportRelay("me:1", "a", 1000.0),
         table,
--- a/pimentowick/gateway/content.py
+++ b/pimentowick/gateway/content.py
@@ -81,14 +81,14 @@
 
     Args:
         store: `pimentowick.platform.store.Store`.
-        parts: Number of partitions of each topic.
+        partition_count: Number of partitions of each topic.
         record_bytes: Maximum size of a record, in bytes.
         call_bytes: Maximum size of one append, in bytes.
     """
 
-    def __init__(self, store, parts, record_bytes, call_bytes):
+    def __init__(self, store, partition_count, record_bytes, call_bytes):
         self._store = store
-        self._partition_count = parts
+        self._partition_count = partition_count
         self._record_bytes = record_bytes - RECORD_OVERHEAD_BYTES
         self._call_bytes = call_bytes * MAX_CALL_SHARE
         self._cache = collections.OrderedDict()
--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -21,8 +21,8 @@
     health,
     job_api,
     job_storage,
+    load_report,
     metric,
-    neighbour,
     ownership,
     peer_configuration,
     pools,
@@ -97,18 +97,18 @@
         self.configuration = follower.ConfigurationFollower()
         self.table = target.TargetTable(
             lambda removed: self.pools.remove_pool(removed),
-            lambda target_id: self.neighbours.update_target_load(target_id),
+            lambda target_id: self.load_reporter.update_target_load(target_id),
         )
         self.admission = admission.Admission(
             self.table,
             settings.failure_domain,
             self._on_load_change,
-            lambda: self.neighbours.propagation_delay_s,
+            lambda: self.load_reporter.propagation_delay_s,
         )
         address = f"{settings.ip}:{settings.peer_ports[0]}"
         self.outliers = outlier_detection.OutlierDetection(settings.failure_domain)
         self.quotas = quota.SharedQuota(time.monotonic())
-        self.neighbours = neighbour.Neighbours(
+        self.load_reporter = load_report.LoadReporter(
             address,
             report_relay.ReportRelay(
                 address, settings.failure_domain, settings.link_mbps
@@ -119,12 +119,12 @@
             self.quotas,
             self._on_capacity_change,
         )
-        self.neighbours.get_limit = self._get_limit
+        self.load_reporter.get_limit = self._get_limit
         target_health = health.Health(self.outliers)
         self.storage = job_storage.JobStorage(
             self.store, JOBS_TOPIC, OUTCOMES_TOPIC, JOBS_PAUSE_S, LONG_POLL_S, settings
         )
-        self.pools = pools.Pools(self.configuration, self.neighbours.peers)
+        self.pools = pools.Pools(self.configuration, self.load_reporter.peers)
         self._targets = follower.TargetFollower(self.table, self._on_capacity_change)
         self.runner = runner.Runner(
             address,
@@ -136,9 +136,9 @@
             lambda: self.configuration.current,
             settings.parts,
             self.metrics,
-            self.neighbours.schedule_report,
+            self.load_reporter.schedule_report,
         )
-        self.runner.neighbours = self.neighbours
+        self.runner.load_reporter = self.load_reporter
         self.ownership = ownership.Ownership(
             self.store,
             # The owner's name is the same after a restart, so that the entry gets its
@@ -146,13 +146,13 @@
             address,
             settings.least_lease_s,
             self._on_partitions_change,
-            self.neighbours.get_latest_peer_renewal,
+            self.load_reporter.get_latest_peer_renewal,
         )
-        self.neighbours.get_renewal_age = self.ownership.get_lease_age
+        self.load_reporter.get_renewal_age = self.ownership.get_lease_age
         self._handover = handover.Handover(
-            self.ownership, self.runner, self.storage, self.neighbours
+            self.ownership, self.runner, self.storage, self.load_reporter
         )
-        self.neighbours.get_held_partitions = self._handover.list_held_partitions
+        self.load_reporter.get_held_partitions = self._handover.list_held_partitions
         request_relay = relay.Relay(
             self.admission, self.pools.get, target_health, self.metrics
         )
@@ -180,7 +180,7 @@
         self._peer_configuration = peer_configuration.PeerConfiguration(
             self.configuration,
             self._feeds["configuration"],
-            self.neighbours.list_live_peers,
+            self.load_reporter.list_live_peers,
             lambda: self.authentication.enforces_max_age,
         )
         self._peer_server = exchange.Server(
@@ -217,7 +217,7 @@
             self.store,
             ENTRIES_TOPIC,
             0,
-            follower.EntryFollower(self.neighbours),
+            follower.EntryFollower(self.load_reporter),
             ENTRIES_PAUSE_S,
             LONG_POLL_S,
         )
@@ -231,7 +231,7 @@
         """Start the servers and the background tasks."""
         await self._supervisor.start()
         await self.store.start()
-        await self.neighbours.start()
+        await self.load_reporter.start()
         await self._peer_configuration.start()
         for server in self._list_servers():
             await server.start()
@@ -245,8 +245,8 @@
                 f"feed {name}", self._follow_after_startup, log.feed
             )
             self._supervisor.start_child(f"append {name}", log.run)
-        self._supervisor.start_child("neighbours", self.neighbours.run)
-        self._supervisor.start_child("news relay", self.neighbours.run_relay)
+        self._supervisor.start_child("neighbours", self.load_reporter.run)
+        self._supervisor.start_child("news relay", self.load_reporter.run_relay)
         self._supervisor.start_child("announce", self._register)
         self._supervisor.start_child("peer configuration", self._peer_configuration.run)
         self._supervisor.start_child("ownership", self.ownership.run)
@@ -327,7 +327,7 @@
         for server in self._list_servers():
             await server.close()
         await self._supervisor.close()
-        await self.neighbours.close()
+        await self.load_reporter.close()
         await self._peer_configuration.close()
         self.pools.close()
         await self.store.close()
@@ -372,7 +372,7 @@
         )
 
     def _on_load_change(self):
-        self.neighbours.schedule_report()
+        self.load_reporter.schedule_report()
         self.runner.wake()
 
     def _on_capacity_change(self):
@@ -408,7 +408,7 @@
             "failure_domain": self.settings.failure_domain,
             "link_mbps": self.settings.link_mbps,
         }
-        records = [store.KeyedRecord(self.neighbours.address, orjson.dumps(data))]
+        records = [store.KeyedRecord(self.load_reporter.address, orjson.dumps(data))]
         while True:
             try:
                 await self.store.append(ENTRIES_TOPIC, 0, records, None)
@@ -418,7 +418,7 @@
                 await asyncio.sleep(1.0)
 
     async def _unregister(self):
-        records = [store.KeyedRecord(self.neighbours.address, b"")]
+        records = [store.KeyedRecord(self.load_reporter.address, b"")]
         try:
             await self.store.append(ENTRIES_TOPIC, 0, records, None)
         except exception.LogError as error:
--- a/pimentowick/gateway/execution.py
+++ b/pimentowick/gateway/execution.py
@@ -60,12 +60,12 @@
         return self.job.submitted_s + self.route.due_s
 
     @property
-    def steps_done(self):
+    def events_generated(self):
         """Number of events generated at this entry."""
         return self.transcript.events_generated
 
     @property
-    def left_s(self):
+    def remaining_s(self):
         """Estimated remaining run time, in seconds."""
         return self.service_time.estimate_remaining_s(self.transcript.count_events())
 
--- a/pimentowick/gateway/follower.py
+++ b/pimentowick/gateway/follower.py
@@ -138,10 +138,10 @@
 
 
 class EntryFollower(feed.Follower):
-    """Passes addresses, failure domains and links of entries to `Neighbours`."""
+    """Passes addresses, failure domains and links of entries to `LoadReporter`."""
 
-    def __init__(self, neighbours):
-        self._neighbours = neighbours
+    def __init__(self, load_reporter):
+        self._load_reporter = load_reporter
 
     def reset(self, records):
         """Apply the newest record of each key."""
@@ -151,7 +151,7 @@
     def apply(self, record):
         """Apply the next record."""
         if not record.value:
-            self._neighbours.remove(record.key)
+            self._load_reporter.remove(record.key)
             return
         try:
             data = orjson.loads(record.value)
@@ -159,8 +159,8 @@
         except (ValueError, TypeError, KeyError) as error:
             decision_log.log_event("entry.garbled", entry=record.key, why=str(error))
             return
-        self._neighbours.add_member(record.key, domain, link_mbps)
+        self._load_reporter.add_member(record.key, domain, link_mbps)
 
     def on_caught_up(self):
         """Report that all entries listed in the store are known."""
-        self._neighbours.on_members_listed()
+        self._load_reporter.on_members_listed()
--- a/pimentowick/gateway/handover.py
+++ b/pimentowick/gateway/handover.py
@@ -34,14 +34,14 @@
         ownership: `pimentowick.gateway.ownership.Ownership`.
         runner: `pimentowick.gateway.runner.Runner`.
         storage: `pimentowick.gateway.job_storage.JobStorage`.
-        neighbours: `pimentowick.gateway.neighbour.Neighbours`.
+        load_reporter: `pimentowick.gateway.load_report.LoadReporter`.
     """
 
-    def __init__(self, ownership, runner, storage, neighbours):
+    def __init__(self, ownership, runner, storage, load_reporter):
         self._ownership = ownership
         self._runner = runner
         self._storage = storage
-        self._neighbours = neighbours
+        self._load_reporter = load_reporter
 
     def list_held_partitions(self):
         """Return the partitions that other entries must not run yet."""
@@ -53,14 +53,14 @@
         """Release lost partitions, and take over new ones once they are free."""
         assigned = self._ownership.partitions
         self._runner.set_partitions(self._runner.owned_partitions & assigned)
-        while not self._neighbours.has_heard_peers:
+        while not self._load_reporter.has_heard_peers:
             await asyncio.sleep(CHECK_INTERVAL_S)
         started_at = time.monotonic()
         remaining = assigned - self._runner.owned_partitions
         while remaining:
             held = frozenset()
             if time.monotonic() - started_at < MAX_WAIT_S:
-                held = remaining & self._neighbours.list_peer_partitions()
+                held = remaining & self._load_reporter.list_peer_partitions()
             if remaining - held:
                 await self._refresh()
                 self._runner.set_partitions(
--- a/pimentowick/gateway/health.py
+++ b/pimentowick/gateway/health.py
@@ -59,10 +59,12 @@
             seemed_free: Whether most of its slots seemed to be free.
         """
         now = time.monotonic()
-        if outcome.why == "misdirected":
+        if outcome.reason == "misdirected":
             # Another target now has this address; the registry will list it.
             target.paused_until = float("inf")
-            decision_log.log_event("target.paused", target=target.id, why=outcome.why)
+            decision_log.log_event(
+                "target.paused", target=target.id, why=outcome.reason
+            )
             return
         if outcome.end == upstream.End.NOT_RUN and outcome.connected:
             target.paused_until = max(target.paused_until, now + FULL_PAUSE_S)
@@ -83,7 +85,7 @@
         decision_log.log_event(
             "target.paused",
             target=target.id,
-            why=outcome.why,
+            why=outcome.reason,
             failures=target.failures,
             pause_s=pause,
         )
--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/load_report.py
@@ -24,7 +24,7 @@
 from pimentowick.gateway import decision_log
 from pimentowick.gateway.policy import report_relay
 
-__all__ = ["Neighbour", "Neighbours"]
+__all__ = ["LoadReporter", "Peer"]
 
 # Coalesces simultaneous changes; delays preemption by as much.
 FLUSH_DELAY_S = 0.01
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Neighbour:
+class Peer:
     """Another entry and its latest report.
 
     Attributes:
@@ -60,8 +60,8 @@
         waiting: Number of requests queued there, by service.
         pending: Weight of the batch items queued there, by service.
         renewed_at: Monotonic time at which the store last renewed its lease, or None.
-        parts: Partitions of the batch work that it runs, or whose output it is still
-            recording.
+        partitions: Partitions of the batch work that it runs, or whose output it is
+            still recording.
     """
 
     address: str
@@ -71,7 +71,7 @@
     waiting: dict = dataclasses.field(default_factory=dict)
     pending: dict = dataclasses.field(default_factory=dict)
     renewed_at: float | None = None
-    parts: frozenset = frozenset()
+    partitions: frozenset = frozenset()
 
     @property
     def has_load(self):
@@ -79,7 +79,7 @@
         return bool(self.loads or self.waiting or self.pending)
 
 
-class Neighbours(asyncio.DatagramProtocol):
+class LoadReporter(asyncio.DatagramProtocol):
     """Sends the load reports of this entry, and applies those of others.
 
     Args:
@@ -92,7 +92,7 @@
         on_peer_change: Function called when the load of another entry has changed.
 
     Attributes:
-        peers: The `Neighbour` objects by address.
+        peers: The `Peer` objects by address.
         pending: Weight of the batch items queued here, by service; set by the runner.
         get_renewal_age: Function that returns the seconds since the store last renewed
             this entry's lease, or None.
@@ -157,7 +157,7 @@
         """Add another entry by its address; known ones are ignored."""
         if address == self.address or address in self.peers:
             return
-        self.peers[address] = Neighbour(address, last_heard_at=time.monotonic())
+        self.peers[address] = Peer(address, last_heard_at=time.monotonic())
 
     def remove(self, address):
         """Remove an entry with its load."""
@@ -236,7 +236,9 @@
         """Return the partitions of the batch work that live peers report as held."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         held = [
-            peer.parts for peer in self.peers.values() if peer.last_heard_at > since
+            peer.partitions
+            for peer in self.peers.values()
+            if peer.last_heard_at > since
         ]
         return frozenset().union(*held)
 
@@ -399,7 +401,7 @@
             key: (float(failures), float(successes))
             for key, (failures, successes) in report.get("failing", {}).items()
         }
-        parts = frozenset(map(int, report.get("parts", ())))
+        partitions = frozenset(map(int, report.get("parts", ())))
         taken = {
             key: (int(period), int(admitted), int(admitted_before))
             for key, (period, admitted, admitted_before) in report.get(
@@ -412,7 +414,7 @@
         changed = loads != peer.loads or waiting != peer.waiting
         peer.number = number
         peer.last_heard_at = now
-        peer.parts = parts
+        peer.partitions = partitions
         self._update_load(peer, loads, waiting, pending)
         domain = str(report.get("failure_domain", ""))
         self._outliers.update_peer(address, domain, failing)
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -54,8 +54,8 @@
     long ones.
 
     Args:
-        pending: Objects with `due_at` (Unix time, in seconds), `left_s` (estimated
-            remaining run time, in seconds) and `steps_done`.
+        pending: Objects with `due_at` (Unix time, in seconds), `remaining_s` (estimated
+            remaining run time, in seconds) and `events_generated`.
         now: Unix time, in seconds.
 
     References:
@@ -64,15 +64,15 @@
     """
 
     def make_sort_key(item):
-        left = round(item.left_s, 1)
-        return is_late(item, now), left, item.due_at, -item.steps_done
+        left = round(item.remaining_s, 1)
+        return is_late(item, now), left, item.due_at, -item.events_generated
 
     return sorted(pending, key=make_sort_key)
 
 
 def is_late(item, now):
     """Return whether an item can no longer finish by its due time."""
-    return item.due_at <= now + item.left_s
+    return item.due_at <= now + item.remaining_s
 
 
 def sum_pending_weight(pending, now):
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -139,7 +139,7 @@
         """Try targets until the request is answered; return the outcome for the log."""
         objective_s = self._route.objective_s
         received_at = self._exchange.received_at
-        time_s = self._deadline_at - received_at
+        timeout_s = self._deadline_at - received_at
         rank = (self._route.priority, self._route.priority)
         if self._workspace is not None:
             rank = self._workspace.rank(self._route.priority)
@@ -147,7 +147,7 @@
             self._service,
             rank,
             received_at + objective_s - load_shedding.FIRST_EVENT_LATENCY_S,
-            received_at + time_s * load_shedding.MAX_WAIT_SHARE,
+            received_at + timeout_s * load_shedding.MAX_WAIT_SHARE,
             workspace="" if self._workspace is None else self._workspace.name,
         )
         while True:
@@ -161,9 +161,9 @@
                 slot.release()
             step = await self._handle_outcome(outcome)
             if step == _NextStep.DONE:
-                return outcome.why
+                return outcome.reason
             if step == _NextStep.FAIL:
-                return await self._fail(outcome.why)
+                return await self._fail(outcome.reason)
 
     async def _acquire_slot(self, slot_request):
         """Return an `admission.AcquiredSlot`, or None if the request is shed."""
@@ -176,9 +176,9 @@
             return slot
         queue_state = self._admission.get_queue_state(self._service)
         is_first = not self._progress.tried_targets
-        time_s = self._deadline_at - self._exchange.received_at
+        timeout_s = self._deadline_at - self._exchange.received_at
         if is_first and load_shedding.should_shed(
-            queue_state, self._route.objective_s, time_s
+            queue_state, self._route.objective_s, timeout_s
         ):
             return None
         decision_log.log_request_event(
@@ -197,13 +197,13 @@
         )
 
     async def _send(self, target):
-        left_s = self._deadline_at - time.monotonic()
+        remaining_s = self._deadline_at - time.monotonic()
         self._progress.tried_targets.add(target.id)
         self._sink.reset()
         resume_after = self._sink.last_event_id if self._exchange.started else None
         headers = message.encode_request(
             self._exchange.headers,
-            left_s,
+            remaining_s,
             target.id,
             len(self._exchange.body),
             resume_after,
@@ -229,7 +229,7 @@
             batch=self._slot.batch_at_start,
             slots=target.slots,
             waited_s=self._sent_at - self._exchange.received_at,
-            left_s=left_s,
+            left_s=remaining_s,
             resumed_at=resume_after,
         )
         sink = self._sink
@@ -279,8 +279,8 @@
         return _NextStep.DONE
 
     def _retry_or_fail(self, may_retry):
-        left_s = self._deadline_at - time.monotonic()
-        if may_retry and left_s > MIN_ATTEMPT_S:
+        remaining_s = self._deadline_at - time.monotonic()
+        if may_retry and remaining_s > MIN_ATTEMPT_S:
             self._metrics.count_retry()
             return _NextStep.RETRY
         return _NextStep.FAIL
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -60,7 +60,7 @@
 
     Attributes:
         owned_partitions: Numbers of the partitions whose items this entry runs.
-        neighbours: `pimentowick.gateway.neighbour.Neighbours`.
+        load_reporter: `pimentowick.gateway.load_report.LoadReporter`.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._recordings_in_flight = collections.Counter()
         self._results_in_flight = set()
         self.owned_partitions = frozenset()
-        self.neighbours = None
+        self.load_reporter = None
 
     def list_runs(self):
         """Return the `execution.Run` objects, both queued and running."""
@@ -175,9 +175,9 @@
                 running.setdefault(run.target.id, []).append(run)
         for runs in running.values():
             target = runs[0].target
-            peers = self.neighbours.get_peer_batch_counts(target.id)
+            peers = self.load_reporter.get_peer_batch_counts(target.id)
             count = preemption.count_preemptions(target, self._name, peers)
-            runs.sort(key=lambda run: run.steps_done)
+            runs.sort(key=lambda run: run.events_generated)
             for run in runs[:count]:
                 self._metrics.count_item("preempted")
                 decision_log.log_request_event(
@@ -188,7 +188,7 @@
                     online=target.total_online,
                     batch=target.total_batch,
                     slots=target.slots,
-                    events=run.steps_done,
+                    events=run.events_generated,
                 )
                 self._cancel(run)
 
@@ -346,8 +346,8 @@
             service: round(batch_queue.sum_pending_weight(runs, now), 1)
             for service, runs in by_service.items()
         }
-        if pending != self.neighbours.pending:
-            self.neighbours.pending = pending
+        if pending != self.load_reporter.pending:
+            self.load_reporter.pending = pending
             self._on_change()
 
     def _start_share(self, ready, now):
@@ -357,8 +357,8 @@
             room = target_choice.count_batch_capacity(
                 self._table.list_targets(service), now
             )
-            own_pending = self.neighbours.pending.get(service, 0)
-            others = max(0, self.neighbours.peers_pending[service])
+            own_pending = self.load_reporter.pending.get(service, 0)
+            others = max(0, self.load_reporter.peers_pending[service])
             allowed[service] = batch_queue.compute_entry_share(
                 room, own_pending, others
             )
@@ -373,7 +373,7 @@
                 continue
             allowed[run.service] -= 1
             # Peers learn of items started here only after a round.
-            self._next_start_at = now + self.neighbours.propagation_delay_s
+            self._next_start_at = now + self.load_reporter.propagation_delay_s
             self._start(run, target)
 
     def _start(self, run, target):
@@ -386,7 +386,7 @@
             batch=target.total_batch,
             slots=target.slots,
             after_event=run.transcript.last_event,
-            left_s=run.left_s,
+            left_s=run.remaining_s,
             due_in_s=run.due_at - time.time(),
         )
         run.is_complete = False
@@ -459,12 +459,12 @@
         started_at = time.monotonic()
         outcome, sink = await execution.send(run, target, self._pools(target))
         self._health.observe_outcome(target, outcome)
-        self._metrics.count_item(outcome.why)
+        self._metrics.count_item(outcome.reason)
         decision_log.log_request_event(
             "item.ran",
             run.item.id,
             job=run.job.id,
-            outcome=outcome.why,
+            outcome=outcome.reason,
             status=outcome.status,
             target=target.id,
             events=sink.events,
@@ -498,12 +498,12 @@
             run.failures = 0
         run.not_before = time.monotonic() + min(backoff_s, MAX_BACKOFF_S)
 
-    async def _record_dead(self, run, why):
+    async def _record_dead(self, run, reason):
         await run.transcript.give_up(RECORD_TIMEOUT_S)
         decision_log.log_request_event(
             "item.given_up",
             run.item.id,
             job=run.job.id,
-            outcome=why,
+            outcome=reason,
             failures=run.transcript.failures,
         )
--- a/pimentowick/gateway/tests/test_daemon.py
+++ b/pimentowick/gateway/tests/test_daemon.py
@@ -288,10 +288,10 @@
             await gateway._retention.remove_expired_jobs()
             newest = [
                 key
-                for (topic, _), part in site.store.partitions.items()
+                for (topic, _), partition in site.store.partitions.items()
                 if topic in ("keyed.jobs", "keyed.outcomes")
                 or topic.startswith("keyed.contents")
-                for key in part.newest
+                for key in partition.newest
             ]
             assert not newest
 
@@ -377,15 +377,15 @@
             store = gateway.store
             read_newest = store.read_newest
 
-            async def read_one_page(topic, part, on_page=lambda records: None):
+            async def read_one_page(topic, partition, on_page=lambda records: None):
                 if topic != operator.TARGETS_TOPIC:
-                    return await read_newest(topic, part, on_page)
+                    return await read_newest(topic, partition, on_page)
 
                 def take_page(records):
                     on_page(records)
                     raise exception.LogError("The read timed out after the first page.")
 
-                return await read_newest(topic, part, take_page)
+                return await read_newest(topic, partition, take_page)
 
             store.read_newest = read_one_page
             site.gateways.append(gateway)
--- a/pimentowick/gateway/tests/test_neighbour.py
+++ b/pimentowick/gateway/tests/test_neighbour.py
@@ -4,19 +4,19 @@
 import pytest
 
 from pimentowick.fakes import platform_site, replica, wait
-from pimentowick.gateway import admission, neighbour, target
+from pimentowick.gateway import admission, load_report, target
 from pimentowick.gateway.policy import outlier_detection, quota, report_relay
 
 ROUTES = [platform_site.make_route("/chat/", "stream", resumable=True)]
 
 
-def make_neighbours():
+def make_load_reporter():
     table = target.TargetTable(
-        on_added=lambda target_id: neighbours.update_target_load(target_id)
+        on_added=lambda target_id: load_reporter.update_target_load(target_id)
     )
     queue = admission.Admission(table, "a")
     changes = []
-    neighbours = neighbour.Neighbours(
+    load_reporter = load_report.LoadReporter(
         "me:1",
         report_relay.ReportRelay("me:1", "a", 100.0),
         table,
@@ -26,65 +26,65 @@
         lambda: changes.append(1),
     )
     table.put(target.Registration("t", "s", "127.0.0.1", 1, "a", 8))
-    return neighbours, table.by_id["t"], queue, changes
+    return load_reporter, table.by_id["t"], queue, changes
 
 
-def receive_report(neighbours, number, loads, waiting=None, sender="other:2"):
+def receive_report(load_reporter, number, loads, waiting=None, sender="other:2"):
     data = {"from": sender, "number": number, "loads": loads, "pending": {}}
     data["waiting"] = waiting or {}
-    neighbours.datagram_received(orjson.dumps(data), ("other", 2))
+    load_reporter.datagram_received(orjson.dumps(data), ("other", 2))
 
 
 def test_loads_of_neighbours_are_summed():
-    neighbours, known_target, queue, changes = make_neighbours()
-    receive_report(neighbours, 1, {"t": [2, 1]}, {"s": 3})
-    receive_report(neighbours, 1, {"t": [1, 0]}, sender="third:3")
+    load_reporter, known_target, queue, changes = make_load_reporter()
+    receive_report(load_reporter, 1, {"t": [2, 1]}, {"s": 3})
+    receive_report(load_reporter, 1, {"t": [1, 0]}, sender="third:3")
     assert (known_target.peers_online, known_target.peers_batch) == (3, 1)
     assert queue.peers_waiting["s"] == 3
-    assert neighbours.get_peer_batch_counts("t") == {"other:2": 1}
+    assert load_reporter.get_peer_batch_counts("t") == {"other:2": 1}
     assert len(changes) == 2
 
 
 def test_load_reported_before_a_target_is_listed_is_applied():
     # Other entries use a new target before this one lists it, and their reports stay
     # unchanged for seconds while batch items run there.
-    neighbours, *_ = make_neighbours()
-    receive_report(neighbours, 1, {"t": [0, 2], "new": [1, 4]})
+    load_reporter, *_ = make_load_reporter()
+    receive_report(load_reporter, 1, {"t": [0, 2], "new": [1, 4]})
     registration = target.Registration("new", "s", "127.0.0.1", 2, "a", 8)
-    neighbours._table.put(registration)
-    receive_report(neighbours, 2, {"t": [0, 2], "new": [1, 4]})
-    new = neighbours._table.by_id["new"]
+    load_reporter._table.put(registration)
+    receive_report(load_reporter, 2, {"t": [0, 2], "new": [1, 4]})
+    new = load_reporter._table.by_id["new"]
     assert (new.peers_online, new.peers_batch) == (1, 4)
 
 
 def test_reordered_datagrams_are_ignored():
-    neighbours, known_target, _, _ = make_neighbours()
-    receive_report(neighbours, 2, {"t": [5, 0]})
-    receive_report(neighbours, 1, {"t": [1, 0]})
+    load_reporter, known_target, _, _ = make_load_reporter()
+    receive_report(load_reporter, 2, {"t": [5, 0]})
+    receive_report(load_reporter, 1, {"t": [1, 0]})
     assert known_target.peers_online == 5
 
 
 def test_malformed_datagrams_change_nothing():
-    neighbours, known_target, _, _ = make_neighbours()
+    load_reporter, known_target, _, _ = make_load_reporter()
     for data in (b"", b"[]", b"{}", b'{"from": 1, "number": "x", "loads": 3}'):
-        neighbours.datagram_received(data, ("other", 2))
+        load_reporter.datagram_received(data, ("other", 2))
     assert known_target.peers_online == 0
 
 
 def test_load_of_silent_neighbour_is_removed(monkeypatch):
     # If the load of a failed entry stayed counted, its slots would stay unused.
-    neighbours, known_target, _, changes = make_neighbours()
-    receive_report(neighbours, 1, {"t": [5, 2]})
-    peer = neighbours.peers["other:2"]
-    peer.last_heard_at -= neighbour.PEER_HEARTBEAT_TIMEOUT_S + 1
-    neighbours._remove_silent()
+    load_reporter, known_target, _, changes = make_load_reporter()
+    receive_report(load_reporter, 1, {"t": [5, 2]})
+    peer = load_reporter.peers["other:2"]
+    peer.last_heard_at -= load_report.PEER_HEARTBEAT_TIMEOUT_S + 1
+    load_reporter._remove_silent()
     assert (known_target.peers_online, known_target.peers_batch) == (0, 0)
     assert len(changes) == 2
-    receive_report(neighbours, 0.5, {"t": [1, 0]})
+    receive_report(load_reporter, 0.5, {"t": [1, 0]})
     assert known_target.peers_online == 1
-    peer.last_heard_at -= neighbour.PEER_EXPIRY_S
-    neighbours._remove_silent()
-    assert not neighbours.peers
+    peer.last_heard_at -= load_report.PEER_EXPIRY_S
+    load_reporter._remove_silent()
+    assert not load_reporter.peers
 
 
 @pytest.mark.parametrize("jobs", [1, 6])
@@ -132,7 +132,7 @@
 def test_entries_exchange_reports_through_relays(monkeypatch):
     # Entries in two failure domains exchange reports through one relay in each. If a
     # report were lost, a slot in use would be assigned again.
-    monkeypatch.setattr(neighbour, "RELAY_MIN_PEERS", 1)
+    monkeypatch.setattr(load_report, "RELAY_MIN_PEERS", 1)
     server = replica.Replica(events=4000, gap_s=0.02)
 
     async def run():
@@ -143,7 +143,9 @@
                 )
                 await site.start_entry(settings)
             await wait.wait_for(
-                lambda: all(len(each.neighbours.peers) == 4 for each in site.gateways),
+                lambda: all(
+                    len(each.load_reporter.peers) == 4 for each in site.gateways
+                ),
                 10,
                 0.01,
             )
@@ -180,10 +182,10 @@
 
 def test_entry_with_items_to_preempt_gets_reports_directly(monkeypatch):
     # Through relays only, it would preempt its items a tenth of a second later.
-    monkeypatch.setattr(neighbour, "RELAY_MIN_PEERS", 1)
-    neighbours, known_target, _, _ = make_neighbours()
-    receive_report(neighbours, 1, {"t": [0, 8]})
-    receive_report(neighbours, 1, {"t": [3, 0]}, sender="third:3")
-    assert neighbours._list_preempted_peers() == []
+    monkeypatch.setattr(load_report, "RELAY_MIN_PEERS", 1)
+    load_reporter, known_target, _, _ = make_load_reporter()
+    receive_report(load_reporter, 1, {"t": [0, 8]})
+    receive_report(load_reporter, 1, {"t": [3, 0]}, sender="third:3")
+    assert load_reporter._list_preempted_peers() == []
     known_target.online = 1
-    assert neighbours._list_preempted_peers() == ["other:2"]
+    assert load_reporter._list_preempted_peers() == ["other:2"]
--- a/pimentowick/gateway/tests/test_online.py
+++ b/pimentowick/gateway/tests/test_online.py
@@ -280,7 +280,7 @@
         )
         target = next(iter(gateway.table.by_id.values()))
         assert min(16, gateway.pools.compute_idle_limit(target)) == kept
-        gateway.neighbours.add("127.0.0.1:1")
+        gateway.load_reporter.add("127.0.0.1:1")
         assert (
             gateway.pools.compute_idle_limit(target) == max(0, (limit or 100) - 8) // 2
         )
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -3,7 +3,7 @@
 import time
 
 from pimentowick.fakes import faults, platform_site, replica, wait
-from pimentowick.gateway import neighbour, ownership
+from pimentowick.gateway import load_report, ownership
 from pimentowick.platform import store
 
 
@@ -141,17 +141,17 @@
             since = time.monotonic()
 
             def is_replaced():
-                return one.neighbours.get_latest_peer_renewal() > since
+                return one.load_reporter.get_latest_peer_renewal() > since
 
-            await wait.wait_for(lambda: one.neighbours.peers, 10, 0.01)
+            await wait.wait_for(lambda: one.load_reporter.peers, 10, 0.01)
             await wait.wait_for(is_replaced, 10, 0.01)
             since = time.monotonic()
             site.store.board.place(faults.Order("down"))
             await wait.wait_for(lambda: not is_replaced(), 10, 0.01)
-            other.neighbours._transport.abort()
-            other.neighbours._transport = None
-            for peer in one.neighbours.peers.values():
-                peer.last_heard_at -= neighbour.PEER_HEARTBEAT_TIMEOUT_S
+            other.load_reporter._transport.abort()
+            other.load_reporter._transport = None
+            for peer in one.load_reporter.peers.values():
+                peer.last_heard_at -= load_report.PEER_HEARTBEAT_TIMEOUT_S
             assert is_replaced()
 
     asyncio.run(run())
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -17,7 +17,7 @@
         ) as site:
             if entries > 1:
                 list_peers = [
-                    found.neighbours.list_live_peers for found in site.gateways
+                    found.load_reporter.list_live_peers for found in site.gateways
                 ]
                 await wait.wait_for(
                     lambda: all(list_live() for list_live in list_peers), 10, 0.01
@@ -75,7 +75,7 @@
         feeds = [isolate(gateway, 6.0) for gateway in site.gateways]
         fresh_at_boottime = max(feed.fresh_at_boottime for feed in feeds)
         for gateway, other in zip(site.gateways, reversed(site.gateways), strict=True):
-            address = other.neighbours.address
+            address = other.load_reporter.address
             await gateway._peer_configuration.fetch_from_peer(address)
         # None is fresher than the freshest was before.
         assert all(feed.fresh_at_boottime <= fresh_at_boottime for feed in feeds)
--- a/pimentowick/gateway/tests/test_policy.py
+++ b/pimentowick/gateway/tests/test_policy.py
@@ -184,7 +184,9 @@
     assert load_shedding.compute_retry_after(state) == load_shedding.MAX_RETRY_AFTER_S
 
 
-Item = collections.namedtuple("Item", "due_at steps_done left_s", defaults=(0.0,))
+Item = collections.namedtuple(
+    "Item", "due_at events_generated remaining_s", defaults=(0.0,)
+)
 
 
 def test_items_due_earlier_start_earlier_and_late_items_last():
@@ -207,12 +209,12 @@
     def __init__(self, due_at, work_s, is_work_known):
         self.due_at = due_at
         self.work_s = work_s
-        self.steps_done = 0
+        self.events_generated = 0
         self._is_work_known = is_work_known
 
     @property
-    def left_s(self):
-        return self.work_s - self.steps_done if self._is_work_known else 0.0
+    def remaining_s(self):
+        return self.work_s - self.events_generated if self._is_work_known else 0.0
 
 
 def order_by_due_time(pending, now):
@@ -234,9 +236,9 @@
         while len(running) < slots and waiting:
             running.append(waiting.pop(0))
         for item in running:
-            item.steps_done += 1
-        done = [item for item in running if item.steps_done >= item.work_s]
-        running = [item for item in running if item.steps_done < item.work_s]
+            item.events_generated += 1
+        done = [item for item in running if item.events_generated >= item.work_s]
+        running = [item for item in running if item.events_generated < item.work_s]
         in_time += sum(item.due_at >= now + 1 for item in done)
     return in_time
 
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -63,13 +63,13 @@
 
     Attributes:
         end: The `End`.
-        why: Reason code for the log.
+        reason: Reason code for the log.
         status: HTTP status of the response, or 0 without one.
         connected: Whether a connection to the target was open.
     """
 
     end: End
-    why: str
+    reason: str
     status: int = 0
     connected: bool = True
 
@@ -268,8 +268,8 @@
             try:
                 connection = await self._open()
             except (OSError, TimeoutError, iostream.StreamClosedError) as error:
-                why = f"connect_{type(error).__name__}"
-                return Outcome(End.NOT_RUN, why, connected=False)
+                reason = f"connect_{type(error).__name__}"
+                return Outcome(End.NOT_RUN, reason, connected=False)
         reusable = False
         try:
             outcome, reusable = await connection.exchange(request, sink)
