--- a/pimentowick/gateway/loss.py
+++ b/pimentowick/gateway/loss.py
@@ -48,9 +48,9 @@
     if last.event == "caller.refused":
         return "unknown", f"refused: {data.get('outcome')}"
     if last.event in ("online.queued", "online.sent"):
-        return kind, "its gateway ended"
+        return kind, "its gateway terminated"
     if last.event == "online.left":
-        return kind, "its caller left"
+        return kind, "its caller disconnected"
     if data.get("in_time"):
         return kind, ""
     if data.get("outcome") != "answered":
@@ -69,10 +69,10 @@
         data["waited_s"]
         > (id_lines[-1].data["first_s"] or id_lines[-1].data["took_s"]) / 2
     ):
-        return "late: waited for a place"
+        return "late: waited for a slot"
     if data["online"] + data["batch"] >= data["slots"]:
         return "late: sent to a full target"
-    return "late: slow at a target with free places"
+    return "late: slow at a target with free slots"
 
 
 def explain_item(id_lines):
@@ -86,7 +86,7 @@
     if last.event == "item.given_up":
         return f"given up: {last.data.get('outcome')}"
     if not runs or runs[-1].data.get("outcome") != "answered":
-        return "not done by the end of the log"
+        return "not completed by the end of the log"
     due_in_s = runs[-1].data.get("due_in_s")
     if due_in_s is None or due_in_s >= 0:
         return ""
@@ -99,16 +99,16 @@
     broken = sum(line.data.get("outcome") != "answered" for line in runs)
     sent = [line for line in id_lines if line.event == "item.sent"]
     if len(sent) > preemptions + len(runs):
-        return "its gateway ended or lost its part"
+        return "its gateway terminated or lost its partition"
     if len(processes) > 1:
-        return "its part was dealt to another gateway"
+        return "its partition was reassigned to another gateway"
     if broken:
-        return "a target broke off"
+        return "a run failed"
     if sent and sent[0].data.get("due_in_s", 0.0) < 0:
-        return "it began after it was due"
+        return "it started after it was due"
     if preemptions:
-        return "it gave its place to online requests"
-    return "waited for a place"
+        return "it was preempted by online requests"
+    return "waited for a slot"
 
 
 def count_misses(lines):
@@ -158,6 +158,6 @@
         if miss.kind != kind:
             kind = miss.kind
             total = sum(other.count for other in misses if other.kind == kind)
-            rows.append(f"not in time, {kind}: {total} of {miss.total}")
+            rows.append(f"missed deadlines, {kind}: {total} of {miss.total}")
         rows.append(f"  {miss.count:5d}  {miss.cause}")
     return rows
