--- a/pimentowick/gateway/daemon.py
+++ b/pimentowick/gateway/daemon.py
@@ -235,8 +235,8 @@
         await self._peer_configuration.start()
         for server in self._list_servers():
             await server.start()
-        for name, followed in self._feeds.items():
-            self._supervisor.start_child(f"feed {name}", followed.run)
+        for name, topic_feed in self._feeds.items():
+            self._supervisor.start_child(f"feed {name}", topic_feed.run)
         for name, log in (
             ("jobs", self.storage.accepted),
             ("outcomes", self.storage.outcomes),
@@ -277,7 +277,7 @@
         ends_at = time.monotonic() + MAX_JOBS_DELAY_S
         required = (self._feeds["configuration"], self._feeds["targets"])
         while time.monotonic() < ends_at and None in [
-            followed.end for followed in required
+            topic_feed.end for topic_feed in required
         ]:
             await asyncio.sleep(STARTUP_CHECK_INTERVAL_S)
         await deferred_feed.run()
@@ -459,7 +459,10 @@
         queues = [self.admission.get_queue_state(service) for service in services]
         return metric.State(
             ages_s={
-                **{name: now - followed.fresh_at for name, followed in feeds.items()},
+                **{
+                    name: now - topic_feed.fresh_at
+                    for name, topic_feed in feeds.items()
+                },
                 "keys": self.authentication.age_s,
             },
             slots=sum(queue.slots for queue in queues),
--- a/pimentowick/gateway/dispatch.py
+++ b/pimentowick/gateway/dispatch.py
@@ -53,24 +53,26 @@
         job_call = message.find_batch_call(request.method, request.path)
         if job_call is not None:
             is_public = current.has_public_batch(request.host)
-            caller = await self._identify(request, call, is_public)
-            await self._serve_job(request, call, caller, *job_call)
+            caller_workspace = await self._identify(request, call, is_public)
+            await self._serve_job(request, call, caller_workspace, *job_call)
             return
         matched_route = self._find_route(current, request, call)
-        caller = await self._identify(request, call, matched_route.is_public)
+        caller_workspace = await self._identify(request, call, matched_route.is_public)
         if self._configuration.current is not current:
             # Authentication may have refreshed the configuration.
             current = self._configuration.current
             matched_route = self._find_route(current, request, call)
         if matched_route.kind == route.Kind.BATCH:
-            await self._job_api.submit(request, matched_route, call, caller)
+            await self._job_api.submit(request, matched_route, call, caller_workspace)
             return
-        await self._serve_online(request, matched_route, call, caller, current)
+        await self._serve_online(
+            request, matched_route, call, caller_workspace, current
+        )
 
     async def _identify(self, request, call, is_public):
-        caller = await self._authentication.identify(call, is_public)
-        request.workspace = None if caller is None else caller.name
-        return caller
+        caller_workspace = await self._authentication.identify(call, is_public)
+        request.workspace = None if caller_workspace is None else caller_workspace.name
+        return caller_workspace
 
     def _find_route(self, current, request, call):
         matched_route = current.find(request.host, request.path)
@@ -87,10 +89,12 @@
             )
         return matched_route
 
-    async def _serve_online(self, request, matched_route, call, caller, current):
-        is_limited = caller is not None and caller.rate_per_s > 0
+    async def _serve_online(
+        self, request, matched_route, call, caller_workspace, current
+    ):
+        is_limited = caller_workspace is not None and caller_workspace.rate_per_s > 0
         if is_limited:
-            self._take_quota(call, caller, current)
+            self._take_quota(call, caller_workspace, current)
         may_have_run = True
         try:
             may_have_run = await self._relay.serve(
@@ -98,25 +102,25 @@
                 matched_route,
                 call,
                 current.version,
-                caller,
+                caller_workspace,
                 current.workspaces is not None,
             )
         finally:
             if is_limited and not may_have_run:
-                self._quotas.refund(caller.name, time.monotonic())
+                self._quotas.refund(caller_workspace.name, time.monotonic())
 
-    def _take_quota(self, call, caller, current):
-        limit = quota.Limit(caller.rate_per_s, caller.burst)
-        wait_s = self._quotas.take(caller.name, limit, time.monotonic())
+    def _take_quota(self, call, caller_workspace, current):
+        limit = quota.Limit(caller_workspace.rate_per_s, caller_workspace.burst)
+        wait_s = self._quotas.take(caller_workspace.name, limit, time.monotonic())
         if not wait_s:
             return
         decision_log.log_request_event(
             "caller.over_quota",
             call.request_id,
             outcome="rate_limit",
-            workspace=caller.name,
-            rate_per_s=caller.rate_per_s,
-            burst=caller.burst,
+            workspace=caller_workspace.name,
+            rate_per_s=caller_workspace.rate_per_s,
+            burst=caller_workspace.burst,
             wait_s=wait_s,
             share=self._quotas.share,
             configuration=current.version,
@@ -130,8 +134,8 @@
             )
         )
 
-    async def _serve_job(self, request, call, caller, operation, job_id):
-        name = None if caller is None else caller.name
+    async def _serve_job(self, request, call, caller_workspace, operation, job_id):
+        name = None if caller_workspace is None else caller_workspace.name
         job_id = workspace.scope_job_id(name, job_id)
         if operation == message.BatchCall.END:
             await self._job_api.cancel(request, job_id)
--- a/pimentowick/gateway/job_api.py
+++ b/pimentowick/gateway/job_api.py
@@ -36,16 +36,17 @@
         self._storage = storage
         self._is_cut_off = is_cut_off
 
-    async def submit(self, exchange, route, call, caller):
+    async def submit(self, exchange, route, call, caller_workspace):
         """Accept or refuse a job.
 
         Args:
             exchange: The `pimentowick.gateway.exchange.Exchange`.
             route: The `pimentowick.gateway.route.Route`.
             call: The `message.Call` decoded from the headers.
-            caller: The `pimentowick.gateway.workspace.Workspace`, or None without one.
+            caller_workspace: The `pimentowick.gateway.workspace.Workspace`, or None
+                without one.
         """
-        workspace_name = None if caller is None else caller.name
+        workspace_name = None if caller_workspace is None else caller_workspace.name
         job_id = workspace.scope_job_id(workspace_name, call.request_id)
         if job_id not in self._storage.job_table.jobs and self._is_cut_off():
             await self._refuse_cut_off(exchange, job_id)
--- a/pimentowick/gateway/load_report.py
+++ b/pimentowick/gateway/load_report.py
@@ -54,7 +54,7 @@
 
     Attributes:
         address: Its ``IP:port``.
-        number: Sequence number of its newest report.
+        sequence_number: Sequence number of its newest report.
         last_heard_at: Monotonic time at which that arrived.
         loads: Its online requests and batch items, by target identifier.
         waiting: Number of requests queued there, by service.
@@ -65,7 +65,7 @@
     """
 
     address: str
-    number: int = 0
+    sequence_number: int = 0
     last_heard_at: float = 0.0
     loads: dict = dataclasses.field(default_factory=dict)
     waiting: dict = dataclasses.field(default_factory=dict)
@@ -118,7 +118,7 @@
         self._transport = None
         self._started_at = float("-inf")
         self._report_requested = asyncio.Event()
-        self._number = time.time_ns()
+        self._sequence_number = time.time_ns()
         self._send_tokens = MAX_SEND_TOKENS
         self._tokens_updated_at = time.monotonic()
         self._peer_loads = {}
@@ -188,8 +188,8 @@
     @property
     def propagation_delay_s(self):
         """Seconds until the other entries know of a change made now."""
-        relays_s = 2 * report_relay.BUNDLE_INTERVAL_S if self._is_relayed else 0.0
-        return self.report_delay_s + relays_s + DELIVERY_S
+        relay_delay_s = 2 * report_relay.BUNDLE_INTERVAL_S if self._is_relayed else 0.0
+        return self.report_delay_s + relay_delay_s + DELIVERY_S
 
     @property
     def _is_relayed(self):
@@ -284,10 +284,10 @@
         }
 
     def _send(self, data):
-        self._number += 1
+        self._sequence_number += 1
         # Empty fields are omitted, since traffic between failure domains is charged.
         fields = {name: value for name, value in data.items() if value or value == 0}
-        report = {"from": self.address, "number": self._number, **fields}
+        report = {"from": self.address, "number": self._sequence_number, **fields}
         if not self._is_relayed:
             self._send_to(self.peers, report)
             return
@@ -384,10 +384,10 @@
             ValueError, TypeError, KeyError, AttributeError: The report is malformed.
         """
         address = report["from"]
-        number = report["number"]
+        sequence_number = report["number"]
         self.add(address)
         peer = self.peers.get(address)
-        if peer is None or number <= peer.number:
+        if peer is None or sequence_number <= peer.sequence_number:
             return False
         loads = {
             key: (int(online), int(batch))
@@ -412,7 +412,7 @@
         now = time.monotonic()
         peer.renewed_at = None if age_s is None else now - float(age_s)
         changed = loads != peer.loads or waiting != peer.waiting
-        peer.number = number
+        peer.sequence_number = sequence_number
         peer.last_heard_at = now
         peer.partitions = partitions
         self._update_load(peer, loads, waiting, pending)
@@ -435,7 +435,7 @@
             if now - peer.last_heard_at > PEER_HEARTBEAT_TIMEOUT_S:
                 self._outliers.update_peer(peer.address, "", {})
                 # A restart after its clock was set back begins with a lower number.
-                peer.number = 0
+                peer.sequence_number = 0
             if now - peer.last_heard_at > PEER_EXPIRY_S:
                 self.peers.pop(peer.address)
                 self._relay.remove(peer.address)
--- a/pimentowick/gateway/ownership.py
+++ b/pimentowick/gateway/ownership.py
@@ -47,7 +47,7 @@
     Args:
         store: `pimentowick.platform.store.Store`.
         member: Name of the entry in the group, stable across restarts.
-        least_lease_s: Minimum lease that the store accepts, in seconds.
+        min_lease_s: Minimum lease that the store accepts, in seconds.
         on_change: Function called when the assignment changes.
         get_peer_renewal: Function that returns the monotonic time of the latest lease
             renewal of any other entry.
@@ -59,10 +59,10 @@
             alone has lost the store.
     """
 
-    def __init__(self, store, member, least_lease_s, on_change, get_peer_renewal):
+    def __init__(self, store, member, min_lease_s, on_change, get_peer_renewal):
         self._store = store
         self._member = member
-        self._lease_s = max(LEASE_S, least_lease_s)
+        self._lease_s = max(LEASE_S, min_lease_s)
         self._on_change = on_change
         self._get_peer_renewal = get_peer_renewal
         self.renewed_at = None
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -64,8 +64,8 @@
     """
 
     def make_sort_key(item):
-        left = round(item.remaining_s, 1)
-        return is_late(item, now), left, item.due_at, -item.events_generated
+        remaining_s = round(item.remaining_s, 1)
+        return is_late(item, now), remaining_s, item.due_at, -item.events_generated
 
     return sorted(pending, key=make_sort_key)
 
--- a/pimentowick/gateway/policy/freshness.py
+++ b/pimentowick/gateway/policy/freshness.py
@@ -53,22 +53,22 @@
     return Freshness.STALE
 
 
-def should_leave_rotation(age_s, bound_s, is_isolated):
+def should_leave_rotation(age_s, bound_s, is_cut_off):
     """Return whether the load balancer should stop sending requests to this entry.
 
     Args:
         age_s: Age of the configuration in seconds, as for `classify_age`.
         bound_s: Revocation bound in seconds, as for `classify_age`.
-        is_isolated: Whether other entries reach the store while this one does not.
+        is_cut_off: Whether other entries reach the store while this one does not.
 
     Examples:
-        >>> should_leave_rotation(3.0, 5.0, is_isolated=True)
+        >>> should_leave_rotation(3.0, 5.0, is_cut_off=True)
         True
-        >>> should_leave_rotation(3.0, 5.0, is_isolated=False)
+        >>> should_leave_rotation(3.0, 5.0, is_cut_off=False)
         False
     """
     if bound_s is None:
         return False
-    return is_isolated and (
+    return is_cut_off and (
         classify_age(age_s + BALANCER_DETECTION_S, bound_s) == Freshness.STALE
     )
--- a/pimentowick/gateway/policy/request_order.py
+++ b/pimentowick/gateway/policy/request_order.py
@@ -16,18 +16,18 @@
 __all__ = ["compute_sort_key"]
 
 
-def compute_sort_key(demand, now):
+def compute_sort_key(slot_request, now):
     """Return the sort key of a queued request; the smallest key is served first.
 
     Args:
-        demand: The `pimentowick.gateway.admission.SlotRequest`.
+        slot_request: The `pimentowick.gateway.admission.SlotRequest`.
         now: Monotonic time, in seconds.
     """
-    late = demand.start_deadline < now
+    late = slot_request.start_deadline < now
     return (
-        demand.rank,
-        not demand.lost_target,
+        slot_request.rank,
+        not slot_request.lost_target,
         late,
-        demand.start_tag,
-        demand.start_deadline,
+        slot_request.start_tag,
+        slot_request.start_deadline,
     )
--- a/pimentowick/gateway/relay.py
+++ b/pimentowick/gateway/relay.py
@@ -251,15 +251,15 @@
             return self._retry_or_fail(self._progress.refusals < MAX_REFUSALS)
         self._progress.runs += 1
         self._status = outcome.status
-        may_repeat = (
+        may_retry = (
             self._route.can_retry and self._progress.runs < self._route.max_attempts
         )
         if outcome.end == upstream.End.INCOMPLETE:
-            return self._retry_or_fail(may_repeat)
+            return self._retry_or_fail(may_retry)
         if self._sink.forwards_events:
-            return self._finish_stream(may_repeat)
-        if outcome.status >= 500 and may_repeat:
-            return self._retry_or_fail(may_repeat)
+            return self._finish_stream(may_retry)
+        if outcome.status >= 500 and may_retry:
+            return self._retry_or_fail(may_retry)
         if self._exchange.started:
             return _NextStep.FAIL
         if outcome.status in (408, 421, 429, 503):
@@ -269,12 +269,12 @@
         await self._sink.send_buffered()
         return _NextStep.DONE
 
-    def _finish_stream(self, may_repeat):
+    def _finish_stream(self, may_retry):
         if not self._sink.is_complete():
-            return self._retry_or_fail(may_repeat)
+            return self._retry_or_fail(may_retry)
         if not self._exchange.started:
             # A stream that ends without any event counts as failed.
-            return self._retry_or_fail(may_repeat)
+            return self._retry_or_fail(may_retry)
         self._exchange.finish()
         return _NextStep.DONE
 
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -9,7 +9,7 @@
     decision_log,
     execution,
     ownership,
-    preparation,
+    prefetch,
     route_removal,
     transcript,
     upstream,
@@ -51,7 +51,7 @@
         failure_domain: Failure domain of this entry.
         storage: `pimentowick.gateway.job_storage.JobStorage`.
         table: `pimentowick.gateway.target.TargetTable`.
-        pools: Function from a target to its `upstream.Pool`.
+        get_pool: Function from a target to its `upstream.Pool`.
         health: `pimentowick.gateway.health.Health`.
         get_configuration: Function that returns the current configuration, or None.
         partition_count: Number of partitions of the batch work.
@@ -69,7 +69,7 @@
         failure_domain,
         storage,
         table,
-        pools,
+        get_pool,
         health,
         get_configuration,
         partition_count,
@@ -79,11 +79,11 @@
         self._name = name
         self._failure_domain = failure_domain
         self._storage = storage
-        self._prefetcher = preparation.ContentPrefetcher(
+        self._prefetcher = prefetch.ContentPrefetcher(
             storage.contents, self._on_contents_read
         )
         self._table = table
-        self._pools = pools
+        self._get_pool = get_pool
         self._health = health
         self._get_configuration = get_configuration
         self._partition_count = partition_count
@@ -294,7 +294,7 @@
 
         async def record_result():
             try:
-                await item_transcript.give_up(RECORD_TIMEOUT_S)
+                await item_transcript.abandon(RECORD_TIMEOUT_S)
                 outcome = "route_removed"
                 decision_log.log_request_event(
                     "item.given_up", item_transcript.item.id, outcome=outcome
@@ -327,11 +327,11 @@
         ]
         ready = []
         for run in batch_queue.order_items(waiting, unix_now):
-            given_up_at = run.job.submitted_s + run.route.abandon_after_s
-            if unix_now > given_up_at + CLOCK_SKEW_MARGIN_S:
-                self._spawn(run, self._record_dead(run, "abandoned"))
+            abandon_at = run.job.submitted_s + run.route.abandon_after_s
+            if unix_now > abandon_at + CLOCK_SKEW_MARGIN_S:
+                self._spawn(run, self._record_abandoned(run, "abandoned"))
             elif run.transcript.failures >= run.route.max_attempts:
-                self._spawn(run, self._record_dead(run, "failed"))
+                self._spawn(run, self._record_abandoned(run, "failed"))
             else:
                 ready.append(run)
         self._publish_pending(ready, unix_now)
@@ -457,7 +457,7 @@
 
     async def _run_item(self, run, target):
         started_at = time.monotonic()
-        outcome, sink = await execution.send(run, target, self._pools(target))
+        outcome, sink = await execution.send(run, target, self._get_pool(target))
         self._health.observe_outcome(target, outcome)
         self._metrics.count_item(outcome.reason)
         decision_log.log_request_event(
@@ -485,7 +485,7 @@
                 await run.transcript.finish(RECORD_TIMEOUT_S)
                 return
         if outcome.end == upstream.End.COMPLETE and outcome.status == 422:
-            await self._record_dead(run, "impossible")
+            await self._record_abandoned(run, "impossible")
             return
         if outcome.end == upstream.End.COMPLETE and outcome.status == 500:
             await run.transcript.record_failure(RECORD_TIMEOUT_S)
@@ -498,8 +498,8 @@
             run.failures = 0
         run.not_before = time.monotonic() + min(backoff_s, MAX_BACKOFF_S)
 
-    async def _record_dead(self, run, reason):
-        await run.transcript.give_up(RECORD_TIMEOUT_S)
+    async def _record_abandoned(self, run, reason):
+        await run.transcript.abandon(RECORD_TIMEOUT_S)
         decision_log.log_request_event(
             "item.given_up",
             run.item.id,
--- a/pimentowick/gateway/tests/test_job_storage.py
+++ b/pimentowick/gateway/tests/test_job_storage.py
@@ -203,7 +203,7 @@
         item_transcript = await one.open_transcript()
         item_transcript.add(event_stream.Event(b"", "1", "a"))
         one.store.timeout_s = UNANSWERED_S
-        listing = item_transcript.give_up(5)
+        listing = item_transcript.abandon(5)
         await run_with_first_answer_lost(fake_store, late_s, listing)
         outcomes = fake_store.get_partition("keyed.outcomes", 0)
         jobs = other.storage.job_table.jobs
--- a/pimentowick/gateway/transcript.py
+++ b/pimentowick/gateway/transcript.py
@@ -131,7 +131,7 @@
         await self._record_result(True, references[name], timeout_s)
         await self._delete_unneeded()
 
-    async def give_up(self, timeout_s):
+    async def abandon(self, timeout_s):
         """Record the item as not done.
 
         Raises:
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -177,9 +177,9 @@
             The `Outcome`, and whether the connection can be reused.
         """
         http = http1connection.HTTP1Connection(self.stream, True, PARAMETERS)
-        line = httputil.RequestStartLine(request.method, request.uri, "HTTP/1.1")
+        start_line = httputil.RequestStartLine(request.method, request.uri, "HTTP/1.1")
         self.request_count += 1
-        written = http.write_headers(line, request.headers, request.body or None)
+        written = http.write_headers(start_line, request.headers, request.body or None)
         http.finish()
         reader = _Reader(request.request_id, sink)
         await http.read_response(reader)
