--- a/pimentowick/gateway/history.py
+++ b/pimentowick/gateway/history.py
@@ -164,7 +164,7 @@
         return "No log line has this id: none of these processes received it."
     last = id_lines[-1]
     if last.event in IN_PROGRESS_EVENTS:
-        summary = _explain_cut(last, context_lines)
+        summary = _explain_unfinished(last, context_lines)
     elif last.event in CALLER_EVENTS:
         summary = _explain_caller(last)
     elif last.event == "caller.refused":
@@ -178,7 +178,7 @@
     return " ".join([summary, *_explain_context(last, context_lines)])
 
 
-def _explain_cut(last, context_lines):
+def _explain_unfinished(last, context_lines):
     """Explain a request or item whose log ends while it was in progress."""
     data = last.data
     where = f"was queued for a slot of {data.get('service')}"
--- a/pimentowick/gateway/load_report.py
+++ b/pimentowick/gateway/load_report.py
@@ -39,7 +39,7 @@
 DELIVERY_S = 0.01
 HEARTBEAT_INTERVAL_S = 0.4
 PEER_HEARTBEAT_TIMEOUT_S = 1.2
-# A neighbour that is silent for this long gets no more reports.
+# A peer that is silent for this long gets no more reports.
 PEER_EXPIRY_S = 20.0
 # All live entries send at least one report in this time.
 DISCOVERY_S = HEARTBEAT_INTERVAL_S + 0.1
@@ -50,17 +50,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """Another entry and its latest report.
+    """Another entry and its latest load report.
 
     Attributes:
         address: Its ``IP:port``.
         sequence_number: Sequence number of its newest report.
-        last_heard_at: Monotonic time at which that arrived.
+        last_heard_at: Monotonic time at which that report arrived.
         loads: Its online requests and batch items, by target identifier.
         waiting: Number of requests queued there, by service.
         pending: Weight of the batch items queued there, by service.
         renewed_at: Monotonic time at which the store last renewed its lease, or None.
-        partitions: Partitions of the batch work that it runs, or whose output it is
+        partitions: Numbers of the job partitions that it runs, or whose output it is
             still recording.
     """
 
@@ -96,7 +96,7 @@
         pending: Weight of the batch items queued here, by service; set by the runner.
         get_renewal_age: Function that returns the seconds since the store last renewed
             this entry's lease, or None.
-        get_held_partitions: Function that returns the partitions of the batch work
+        get_held_partitions: Function that returns the numbers of the job partitions
             that this entry holds.
         get_limit: Function from the name of a workspace to its `quota.Limit`, or None.
         peers_pending: Weight of the batch items queued at other entries, by service.
@@ -221,7 +221,7 @@
         return max(renewals, default=-math.inf)
 
     def list_live_peers(self):
-        """Return the addresses of the entries that are not silent."""
+        """Return the addresses of the peers whose heartbeat timeout has not expired."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         return [
             peer.address for peer in self.peers.values() if peer.last_heard_at > since
@@ -233,7 +233,7 @@
         return time.monotonic() - self._started_at >= DISCOVERY_S
 
     def list_peer_partitions(self):
-        """Return the partitions of the batch work that live peers report as held."""
+        """Return the numbers of the job partitions that live peers report as held."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         held = [
             peer.partitions
@@ -422,7 +422,7 @@
         return changed
 
     def error_received(self, exc):
-        """Ignore send errors; a stopped neighbour is detected by its silence."""
+        """Ignore send errors; a stopped peer is detected by its missing heartbeats."""
 
     def _remove_silent(self):
         now = time.monotonic()
@@ -443,9 +443,9 @@
             self._on_peer_change()
 
     def _update_load(self, peer, loads, waiting, pending):
-        """Replace the load of a neighbour.
+        """Replace the load of a peer.
 
-        The sums over all neighbours are updated incrementally: with 40 entries, each
+        The sums over all peers are updated incrementally: with 40 entries, each of them
         receives about 300 datagrams per second.
         """
         if loads != peer.loads:
--- a/pimentowick/gateway/loss.py
+++ b/pimentowick/gateway/loss.py
@@ -96,13 +96,13 @@
 def _explain_late_item(id_lines, runs):
     processes = {line.process for line in id_lines}
     preemptions = sum(line.event == "item.preempted" for line in id_lines)
-    broken = sum(line.data.get("outcome") != "answered" for line in runs)
+    failed_runs = sum(line.data.get("outcome") != "answered" for line in runs)
     sent = [line for line in id_lines if line.event == "item.sent"]
     if len(sent) > preemptions + len(runs):
         return "its gateway terminated or lost its partition"
     if len(processes) > 1:
         return "its partition was reassigned to another gateway"
-    if broken:
+    if failed_runs:
         return "a run failed"
     if sent and sent[0].data.get("due_in_s", 0.0) < 0:
         return "it started after it was due"
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -1,7 +1,7 @@
 """Order of queued batch items, and how many of them an entry may start.
 
 Notes:
-    Load pattern: slots become free for a few seconds between waves of online requests.
+    Load pattern: slots become free for a few seconds between bursts of online requests.
     All entries observe the free slots at the same time, and each has queued items.
 """
 
@@ -49,9 +49,9 @@
     spends an overload on items that finish shortly after they are due; ordering the
     feasible items by due time starts and preempts more of them.
 
-    The length of an item is unknown until it ends. The remaining time is the mean
-    length on its route minus the steps done, so that short items do not queue behind
-    long ones.
+    The length of an item is unknown until it ends. Its remaining time is estimated from
+    the mean length on its route minus the events generated so far, so that short items
+    do not queue behind long ones.
 
     Args:
         pending: Objects with `due_at` (Unix time, in seconds), `remaining_s` (estimated
--- a/pimentowick/gateway/policy/preemption.py
+++ b/pimentowick/gateway/policy/preemption.py
@@ -1,10 +1,10 @@
 """Which batch items are preempted for online requests.
 
 Notes:
-    Load pattern: waves of online requests last seconds, and a batch item holds its slot
-    for longer than a wave. A preempted item stops within one message between entries
-    and resumes elsewhere after its last event. The cost is one more prefill of its
-    prompt, which takes a target some milliseconds.
+    Load pattern: bursts of online requests last seconds, and a batch item holds its
+    slot for longer than a burst. A preempted item stops as soon as a load report shows
+    the excess, and resumes elsewhere after its last event. The cost is one more prefill
+    of its prompt, which takes a target some milliseconds.
 """
 
 from pimentowick import rendezvous
--- a/pimentowick/gateway/policy/target_choice.py
+++ b/pimentowick/gateway/policy/target_choice.py
@@ -1,19 +1,19 @@
 """Choice of a target for a request, by free slots and the load reports of all entries.
 
 Notes:
-    Load pattern: online requests hold a slot for about a second and arrive in waves of
-    some seconds, at two to five times the load between them, which batch items fill. An
-    online request may go to a target that is full of batch items, since one of them is
-    preempted at once (see `pimentowick.gateway.policy.preemption`). It may not go to a
-    target whose slots are all held by online requests: engines have no priorities, so
-    it would queue there.
+    Load pattern: online requests hold a slot for about a second and arrive in bursts of
+    some seconds, at two to five times the rate between bursts, when batch items use the
+    free slots. An online request may go to a target that is full of batch items, since
+    one of them is preempted at once (see `pimentowick.gateway.policy.preemption`). It
+    may not go to a target whose slots are all held by online requests: engines have no
+    priorities, so it would queue there.
 
     The load that entries know of each other is 20 to 80 ms old. If each chose the least
     loaded target, all requests that arrive in that time would go to the same one.
     Instead, one target of all and one of the same failure domain are drawn at random,
     weighted by free slots, and the less loaded of the two is chosen.
 
-    When a wave begins, batch items hold all slots but a few. If all entries sent their
+    When a burst begins, batch items hold all slots but a few. If all entries sent their
     requests to these few, most would queue there behind requests that cannot be
     preempted. So only about as many requests go to unused slots as there are unused
     slots; the others go to targets where an item is preempted for them.
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -54,7 +54,7 @@
         get_pool: Function from a target to its `upstream.Pool`.
         health: `pimentowick.gateway.health.Health`.
         get_configuration: Function that returns the current configuration, or None.
-        partition_count: Number of partitions of the batch work.
+        partition_count: Number of job partitions.
         metrics: `pimentowick.gateway.metric.Metrics`.
         on_change: Function called when the load of this entry changes.
 
@@ -352,27 +352,27 @@
 
     def _start_share(self, ready, now):
         """Start this entry's share of the items that fit into the free slots."""
-        allowed = {}
+        startable = {}
         for service in {run.service for run in ready}:
-            room = target_choice.count_batch_capacity(
+            free_slots = target_choice.count_batch_capacity(
                 self._table.list_targets(service), now
             )
             own_pending = self.load_reporter.pending.get(service, 0)
             others = max(0, self.load_reporter.peers_pending[service])
-            allowed[service] = batch_queue.compute_entry_share(
-                room, own_pending, others
+            startable[service] = batch_queue.compute_entry_share(
+                free_slots, own_pending, others
             )
         for run in ready:
-            if not allowed[run.service]:
+            if not startable[run.service]:
                 continue
             target = target_choice.choose_for_batch(
                 self._table.list_targets(run.service), now, self._failure_domain
             )
             if target is None:
-                allowed[run.service] = 0
+                startable[run.service] = 0
                 continue
-            allowed[run.service] -= 1
-            # Peers learn of items started here only after a round.
+            startable[run.service] -= 1
+            # Peers learn of items started here only after the propagation delay.
             self._next_start_at = now + self.load_reporter.propagation_delay_s
             self._start(run, target)
 
--- a/pimentowick/gateway/tests/test_authentication.py
+++ b/pimentowick/gateway/tests/test_authentication.py
@@ -83,7 +83,7 @@
     feed = gateway._feeds["configuration"]
 
     async def fail(wait_s):
-        raise exception.LogError("cut off")
+        raise exception.LogError("store unreachable")
 
     feed._read_once = fail
     return feed
@@ -203,18 +203,18 @@
         gateway._supervisor.stop_child("feed configuration")
         feed = stop_reads(site, gateway)
         feed.fresh_at_boottime -= authentication.REFRESH_AGE_S
-        asked = []
+        refreshes = []
         refresh = feed.refresh
 
         async def count():
-            asked.append(1)
+            refreshes.append(1)
             await refresh()
 
         feed.refresh = count
         for number in range(5):
             answer = await send(site, f"wrong{number}", request_id=f"r{number}")
             assert answer.status == 503
-        assert len(asked) == 1
+        assert len(refreshes) == 1
 
     run_with(check)
 
@@ -227,10 +227,10 @@
         feed.fresh_at_boottime -= authentication.REFRESH_AGE_S
         before = site.store.calls["/-/log-read"]
         refresh = feed.refresh
-        asked = []
+        refreshes = []
 
         async def count():
-            asked.append(1)
+            refreshes.append(1)
             await refresh()
 
         feed.refresh = count
@@ -239,7 +239,7 @@
         )
         answers.append(await send(site, "wrong", request_id="last"))
         assert {answer.status for answer in answers} == {401}
-        assert len(asked) == 1
+        assert len(refreshes) == 1
         assert site.store.calls["/-/log-read"] >= before + 1
 
     run_with(check)
--- a/pimentowick/gateway/tests/test_dispatch.py
+++ b/pimentowick/gateway/tests/test_dispatch.py
@@ -149,11 +149,11 @@
         **fields,
     }
     line = history.Line("front-1", data)
-    own, around = history.find_related([line], "r1")
-    assert words in history.explain(own, around)
+    id_lines, context_lines = history.find_related([line], "r1")
+    assert words in history.explain(id_lines, context_lines)
 
 
 def test_trace_finds_a_job_by_the_identifier_that_its_caller_gave():
     data = {"time": 1.0, "event": "batch.accepted", "id": "stands:7c41"}
-    own, _ = history.find_related([history.Line("front-1", data)], "7c41")
-    assert len(own) == 1
+    id_lines, _ = history.find_related([history.Line("front-1", data)], "7c41")
+    assert len(id_lines) == 1
--- a/pimentowick/gateway/tests/test_job_api.py
+++ b/pimentowick/gateway/tests/test_job_api.py
@@ -311,7 +311,7 @@
     """A store whose reads fail."""
 
     async def read(self, *args):
-        raise exception.LogError("away")
+        raise exception.LogError("store unavailable")
 
     read_newest = read
 
--- a/pimentowick/gateway/tests/test_ownership.py
+++ b/pimentowick/gateway/tests/test_ownership.py
@@ -19,7 +19,7 @@
         if self.rejections_left > 0:
             self.rejections_left -= 1
             self.rejected_count += 1
-            raise store.RejectedError("away")
+            raise store.RejectedError("store unavailable")
         return store.Dealt(1, frozenset({1, 2}))
 
 
--- a/pimentowick/gateway/tests/test_peer_configuration.py
+++ b/pimentowick/gateway/tests/test_peer_configuration.py
@@ -85,7 +85,7 @@
 
 
 def make_fetcher(gateway, body, times):
-    """Return feed and fetcher of an entry whose neighbour answers with a body."""
+    """Return the feed and the fetcher of an entry whose peer answers with a body."""
     gateway._supervisor.stop_child("peer configuration")
     feed = isolate(gateway, 6.0)
     feed.fresh_at_boottime = 0.0
--- a/pimentowick/gateway/tests/test_policy.py
+++ b/pimentowick/gateway/tests/test_policy.py
@@ -73,7 +73,7 @@
 
 
 def test_entries_with_the_same_stale_view_do_not_overload_one_target():
-    # At the peak of a wave, 14 requests arrive before the entries know each other's
+    # At the peak of a burst, 14 requests arrive before the entries know each other's
     # choices. Sent to the least loaded target, most would queue there.
     seeds = range(200)
     excess = sum(
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_entries_divide_the_same_free_slots(seed):
-    # Slots become free at the end of a wave, and eight entries with queued items
+    # Slots become free at the end of a burst, and eight entries with queued items
     # observe them before any reports its starts. If each filled all free slots, eight
     # times too many items would start.
     draw = random.Random(seed)
@@ -145,7 +145,7 @@
 
 
 def test_requests_that_would_be_late_are_refused_and_others_queued():
-    # Two of five targets are lost in a wave: requests arrive faster than slots become
+    # Two of five targets are lost in a burst: requests arrive faster than slots become
     # free.
     hold_s = 0.8
     objective_s = 0.3
@@ -170,7 +170,7 @@
 
 
 def test_late_request_is_queued_for_a_share_of_its_timeout():
-    # Twenty requests are queued in a wave. Refused callers would retry late as well,
+    # Twenty requests are queued in a burst. Refused callers would retry late as well,
     # and most would be refused again.
     state = load_shedding.QueueState(40, 0, 20, 0.8)
     assert load_shedding.should_shed(state, 0.3)
@@ -229,7 +229,7 @@
         for _ in range(draw.randrange(5)):
             item = RunningItem(now + 18, draw.choice([4, 5, 6]), is_work_known)
             waiting.append(item)
-        # Fewer slots are left for batch items during a wave of online requests.
+        # Fewer slots are left for batch items during a burst of online requests.
         slots = 3 if now % 6 < 3 else 9
         running, preempted = running[:slots], running[slots:]
         waiting = order(waiting + preempted, now)
