--- a/pimentowick/gateway/neighbour.py
+++ b/pimentowick/gateway/load_report.py
@@ -24,7 +24,7 @@
 from pimentowick.gateway import decision_log
 from pimentowick.gateway.policy import report_relay
 
-__all__ = ["Neighbour", "Neighbours"]
+__all__ = ["LoadReporter", "Peer"]
 
 # Coalesces simultaneous changes; delays preemption by as much.
 FLUSH_DELAY_S = 0.01
@@ -39,7 +39,7 @@
 DELIVERY_S = 0.01
 HEARTBEAT_INTERVAL_S = 0.4
 PEER_HEARTBEAT_TIMEOUT_S = 1.2
-# A neighbour that is silent for this long gets no more reports.
+# A peer that is silent for this long gets no more reports.
 PEER_EXPIRY_S = 20.0
 # All live entries send at least one report in this time.
 DISCOVERY_S = HEARTBEAT_INTERVAL_S + 0.1
@@ -49,29 +49,29 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Neighbour:
-    """Another entry and its latest report.
+class Peer:
+    """Another entry and its latest load report.
 
     Attributes:
         address: Its ``IP:port``.
-        number: Sequence number of its newest report.
-        last_heard_at: Monotonic time at which that arrived.
+        sequence_number: Sequence number of its newest report.
+        last_heard_at: Monotonic time at which that report arrived.
         loads: Its online requests and batch items, by target identifier.
         waiting: Number of requests queued there, by service.
         pending: Weight of the batch items queued there, by service.
         renewed_at: Monotonic time at which the store last renewed its lease, or None.
-        parts: Partitions of the batch work that it runs, or whose output it is still
-            recording.
+        partitions: Numbers of the job partitions that it runs, or whose output it is
+            still recording.
     """
 
     address: str
-    number: int = 0
+    sequence_number: int = 0
     last_heard_at: float = 0.0
     loads: dict = dataclasses.field(default_factory=dict)
     waiting: dict = dataclasses.field(default_factory=dict)
     pending: dict = dataclasses.field(default_factory=dict)
     renewed_at: float | None = None
-    parts: frozenset = frozenset()
+    partitions: frozenset = frozenset()
 
     @property
     def has_load(self):
@@ -79,7 +79,7 @@
         return bool(self.loads or self.waiting or self.pending)
 
 
-class Neighbours(asyncio.DatagramProtocol):
+class LoadReporter(asyncio.DatagramProtocol):
     """Sends the load reports of this entry, and applies those of others.
 
     Args:
@@ -92,11 +92,11 @@
         on_peer_change: Function called when the load of another entry has changed.
 
     Attributes:
-        peers: The `Neighbour` objects by address.
+        peers: The `Peer` objects by address.
         pending: Weight of the batch items queued here, by service; set by the runner.
         get_renewal_age: Function that returns the seconds since the store last renewed
             this entry's lease, or None.
-        get_held_partitions: Function that returns the partitions of the batch work
+        get_held_partitions: Function that returns the numbers of the job partitions
             that this entry holds.
         get_limit: Function from the name of a workspace to its `quota.Limit`, or None.
         peers_pending: Weight of the batch items queued at other entries, by service.
@@ -118,7 +118,7 @@
         self._transport = None
         self._started_at = float("-inf")
         self._report_requested = asyncio.Event()
-        self._number = time.time_ns()
+        self._sequence_number = time.time_ns()
         self._send_tokens = MAX_SEND_TOKENS
         self._tokens_updated_at = time.monotonic()
         self._peer_loads = {}
@@ -157,7 +157,7 @@
         """Add another entry by its address; known ones are ignored."""
         if address == self.address or address in self.peers:
             return
-        self.peers[address] = Neighbour(address, last_heard_at=time.monotonic())
+        self.peers[address] = Peer(address, last_heard_at=time.monotonic())
 
     def remove(self, address):
         """Remove an entry with its load."""
@@ -188,8 +188,8 @@
     @property
     def propagation_delay_s(self):
         """Seconds until the other entries know of a change made now."""
-        relays_s = 2 * report_relay.BUNDLE_INTERVAL_S if self._is_relayed else 0.0
-        return self.report_delay_s + relays_s + DELIVERY_S
+        relay_delay_s = 2 * report_relay.BUNDLE_INTERVAL_S if self._is_relayed else 0.0
+        return self.report_delay_s + relay_delay_s + DELIVERY_S
 
     @property
     def _is_relayed(self):
@@ -221,7 +221,7 @@
         return max(renewals, default=-math.inf)
 
     def list_live_peers(self):
-        """Return the addresses of the entries that are not silent."""
+        """Return the addresses of the peers whose heartbeat timeout has not expired."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         return [
             peer.address for peer in self.peers.values() if peer.last_heard_at > since
@@ -233,10 +233,12 @@
         return time.monotonic() - self._started_at >= DISCOVERY_S
 
     def list_peer_partitions(self):
-        """Return the partitions of the batch work that live peers report as held."""
+        """Return the numbers of the job partitions that live peers report as held."""
         since = time.monotonic() - PEER_HEARTBEAT_TIMEOUT_S
         held = [
-            peer.parts for peer in self.peers.values() if peer.last_heard_at > since
+            peer.partitions
+            for peer in self.peers.values()
+            if peer.last_heard_at > since
         ]
         return frozenset().union(*held)
 
@@ -282,10 +284,10 @@
         }
 
     def _send(self, data):
-        self._number += 1
+        self._sequence_number += 1
         # Empty fields are omitted, since traffic between failure domains is charged.
         fields = {name: value for name, value in data.items() if value or value == 0}
-        report = {"from": self.address, "number": self._number, **fields}
+        report = {"from": self.address, "number": self._sequence_number, **fields}
         if not self._is_relayed:
             self._send_to(self.peers, report)
             return
@@ -382,10 +384,10 @@
             ValueError, TypeError, KeyError, AttributeError: The report is malformed.
         """
         address = report["from"]
-        number = report["number"]
+        sequence_number = report["number"]
         self.add(address)
         peer = self.peers.get(address)
-        if peer is None or number <= peer.number:
+        if peer is None or sequence_number <= peer.sequence_number:
             return False
         loads = {
             key: (int(online), int(batch))
@@ -399,7 +401,7 @@
             key: (float(failures), float(successes))
             for key, (failures, successes) in report.get("failing", {}).items()
         }
-        parts = frozenset(map(int, report.get("parts", ())))
+        partitions = frozenset(map(int, report.get("parts", ())))
         taken = {
             key: (int(period), int(admitted), int(admitted_before))
             for key, (period, admitted, admitted_before) in report.get(
@@ -410,9 +412,9 @@
         now = time.monotonic()
         peer.renewed_at = None if age_s is None else now - float(age_s)
         changed = loads != peer.loads or waiting != peer.waiting
-        peer.number = number
+        peer.sequence_number = sequence_number
         peer.last_heard_at = now
-        peer.parts = parts
+        peer.partitions = partitions
         self._update_load(peer, loads, waiting, pending)
         domain = str(report.get("failure_domain", ""))
         self._outliers.update_peer(address, domain, failing)
@@ -420,7 +422,7 @@
         return changed
 
     def error_received(self, exc):
-        """Ignore send errors; a stopped neighbour is detected by its silence."""
+        """Ignore send errors; a stopped peer is detected by its missing heartbeats."""
 
     def _remove_silent(self):
         now = time.monotonic()
@@ -433,7 +435,7 @@
             if now - peer.last_heard_at > PEER_HEARTBEAT_TIMEOUT_S:
                 self._outliers.update_peer(peer.address, "", {})
                 # A restart after its clock was set back begins with a lower number.
-                peer.number = 0
+                peer.sequence_number = 0
             if now - peer.last_heard_at > PEER_EXPIRY_S:
                 self.peers.pop(peer.address)
                 self._relay.remove(peer.address)
@@ -441,9 +443,9 @@
             self._on_peer_change()
 
     def _update_load(self, peer, loads, waiting, pending):
-        """Replace the load of a neighbour.
+        """Replace the load of a peer.
 
-        The sums over all neighbours are updated incrementally: with 40 entries, each
+        The sums over all peers are updated incrementally: with 40 entries, each of them
         receives about 300 datagrams per second.
         """
         if loads != peer.loads:
--- a/pimentowick/gateway/policy/batch_queue.py
+++ b/pimentowick/gateway/policy/batch_queue.py
@@ -1,7 +1,7 @@
 """Order of queued batch items, and how many of them an entry may start.
 
 Notes:
-    Load pattern: slots become free for a few seconds between waves of online requests.
+    Load pattern: slots become free for a few seconds between bursts of online requests.
     All entries observe the free slots at the same time, and each has queued items.
 """
 
@@ -49,13 +49,13 @@
     spends an overload on items that finish shortly after they are due; ordering the
     feasible items by due time starts and preempts more of them.
 
-    The length of an item is unknown until it ends. The remaining time is the mean
-    length on its route minus the steps done, so that short items do not queue behind
-    long ones.
+    The length of an item is unknown until it ends. Its remaining time is estimated from
+    the mean length on its route minus the events generated so far, so that short items
+    do not queue behind long ones.
 
     Args:
-        pending: Objects with `due_at` (Unix time, in seconds), `left_s` (estimated
-            remaining run time, in seconds) and `steps_done`.
+        pending: Objects with `due_at` (Unix time, in seconds), `remaining_s` (estimated
+            remaining run time, in seconds) and `events_generated`.
         now: Unix time, in seconds.
 
     References:
@@ -64,15 +64,15 @@
     """
 
     def make_sort_key(item):
-        left = round(item.left_s, 1)
-        return is_late(item, now), left, item.due_at, -item.steps_done
+        remaining_s = round(item.remaining_s, 1)
+        return is_late(item, now), remaining_s, item.due_at, -item.events_generated
 
     return sorted(pending, key=make_sort_key)
 
 
 def is_late(item, now):
     """Return whether an item can no longer finish by its due time."""
-    return item.due_at <= now + item.left_s
+    return item.due_at <= now + item.remaining_s
 
 
 def sum_pending_weight(pending, now):
--- a/pimentowick/gateway/runner.py
+++ b/pimentowick/gateway/runner.py
@@ -9,7 +9,7 @@
     decision_log,
     execution,
     ownership,
-    preparation,
+    prefetch,
     route_removal,
     transcript,
     upstream,
@@ -51,16 +51,16 @@
         failure_domain: Failure domain of this entry.
         storage: `pimentowick.gateway.job_storage.JobStorage`.
         table: `pimentowick.gateway.target.TargetTable`.
-        pools: Function from a target to its `upstream.Pool`.
+        get_pool: Function from a target to its `upstream.Pool`.
         health: `pimentowick.gateway.health.Health`.
         get_configuration: Function that returns the current configuration, or None.
-        partition_count: Number of partitions of the batch work.
+        partition_count: Number of job partitions.
         metrics: `pimentowick.gateway.metric.Metrics`.
         on_change: Function called when the load of this entry changes.
 
     Attributes:
         owned_partitions: Numbers of the partitions whose items this entry runs.
-        neighbours: `pimentowick.gateway.neighbour.Neighbours`.
+        load_reporter: `pimentowick.gateway.load_report.LoadReporter`.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         failure_domain,
         storage,
         table,
-        pools,
+        get_pool,
         health,
         get_configuration,
         partition_count,
@@ -79,11 +79,11 @@
         self._name = name
         self._failure_domain = failure_domain
         self._storage = storage
-        self._prefetcher = preparation.ContentPrefetcher(
+        self._prefetcher = prefetch.ContentPrefetcher(
             storage.contents, self._on_contents_read
         )
         self._table = table
-        self._pools = pools
+        self._get_pool = get_pool
         self._health = health
         self._get_configuration = get_configuration
         self._partition_count = partition_count
@@ -102,7 +102,7 @@
         self._recordings_in_flight = collections.Counter()
         self._results_in_flight = set()
         self.owned_partitions = frozenset()
-        self.neighbours = None
+        self.load_reporter = None
 
     def list_runs(self):
         """Return the `execution.Run` objects, both queued and running."""
@@ -175,9 +175,9 @@
                 running.setdefault(run.target.id, []).append(run)
         for runs in running.values():
             target = runs[0].target
-            peers = self.neighbours.get_peer_batch_counts(target.id)
+            peers = self.load_reporter.get_peer_batch_counts(target.id)
             count = preemption.count_preemptions(target, self._name, peers)
-            runs.sort(key=lambda run: run.steps_done)
+            runs.sort(key=lambda run: run.events_generated)
             for run in runs[:count]:
                 self._metrics.count_item("preempted")
                 decision_log.log_request_event(
@@ -188,7 +188,7 @@
                     online=target.total_online,
                     batch=target.total_batch,
                     slots=target.slots,
-                    events=run.steps_done,
+                    events=run.events_generated,
                 )
                 self._cancel(run)
 
@@ -294,7 +294,7 @@
 
         async def record_result():
             try:
-                await item_transcript.give_up(RECORD_TIMEOUT_S)
+                await item_transcript.abandon(RECORD_TIMEOUT_S)
                 outcome = "route_removed"
                 decision_log.log_request_event(
                     "item.given_up", item_transcript.item.id, outcome=outcome
@@ -327,11 +327,11 @@
         ]
         ready = []
         for run in batch_queue.order_items(waiting, unix_now):
-            given_up_at = run.job.submitted_s + run.route.abandon_after_s
-            if unix_now > given_up_at + CLOCK_SKEW_MARGIN_S:
-                self._spawn(run, self._record_dead(run, "abandoned"))
+            abandon_at = run.job.submitted_s + run.route.abandon_after_s
+            if unix_now > abandon_at + CLOCK_SKEW_MARGIN_S:
+                self._spawn(run, self._record_abandoned(run, "abandoned"))
             elif run.transcript.failures >= run.route.max_attempts:
-                self._spawn(run, self._record_dead(run, "failed"))
+                self._spawn(run, self._record_abandoned(run, "failed"))
             else:
                 ready.append(run)
         self._publish_pending(ready, unix_now)
@@ -346,34 +346,34 @@
             service: round(batch_queue.sum_pending_weight(runs, now), 1)
             for service, runs in by_service.items()
         }
-        if pending != self.neighbours.pending:
-            self.neighbours.pending = pending
+        if pending != self.load_reporter.pending:
+            self.load_reporter.pending = pending
             self._on_change()
 
     def _start_share(self, ready, now):
         """Start this entry's share of the items that fit into the free slots."""
-        allowed = {}
+        startable = {}
         for service in {run.service for run in ready}:
-            room = target_choice.count_batch_capacity(
+            free_slots = target_choice.count_batch_capacity(
                 self._table.list_targets(service), now
             )
-            own_pending = self.neighbours.pending.get(service, 0)
-            others = max(0, self.neighbours.peers_pending[service])
-            allowed[service] = batch_queue.compute_entry_share(
-                room, own_pending, others
+            own_pending = self.load_reporter.pending.get(service, 0)
+            others = max(0, self.load_reporter.peers_pending[service])
+            startable[service] = batch_queue.compute_entry_share(
+                free_slots, own_pending, others
             )
         for run in ready:
-            if not allowed[run.service]:
+            if not startable[run.service]:
                 continue
             target = target_choice.choose_for_batch(
                 self._table.list_targets(run.service), now, self._failure_domain
             )
             if target is None:
-                allowed[run.service] = 0
+                startable[run.service] = 0
                 continue
-            allowed[run.service] -= 1
-            # Peers learn of items started here only after a round.
-            self._next_start_at = now + self.neighbours.propagation_delay_s
+            startable[run.service] -= 1
+            # Peers learn of items started here only after the propagation delay.
+            self._next_start_at = now + self.load_reporter.propagation_delay_s
             self._start(run, target)
 
     def _start(self, run, target):
@@ -386,7 +386,7 @@
             batch=target.total_batch,
             slots=target.slots,
             after_event=run.transcript.last_event,
-            left_s=run.left_s,
+            left_s=run.remaining_s,
             due_in_s=run.due_at - time.time(),
         )
         run.is_complete = False
@@ -457,14 +457,14 @@
 
     async def _run_item(self, run, target):
         started_at = time.monotonic()
-        outcome, sink = await execution.send(run, target, self._pools(target))
+        outcome, sink = await execution.send(run, target, self._get_pool(target))
         self._health.observe_outcome(target, outcome)
-        self._metrics.count_item(outcome.why)
+        self._metrics.count_item(outcome.reason)
         decision_log.log_request_event(
             "item.ran",
             run.item.id,
             job=run.job.id,
-            outcome=outcome.why,
+            outcome=outcome.reason,
             status=outcome.status,
             target=target.id,
             events=sink.events,
@@ -485,7 +485,7 @@
                 await run.transcript.finish(RECORD_TIMEOUT_S)
                 return
         if outcome.end == upstream.End.COMPLETE and outcome.status == 422:
-            await self._record_dead(run, "impossible")
+            await self._record_abandoned(run, "impossible")
             return
         if outcome.end == upstream.End.COMPLETE and outcome.status == 500:
             await run.transcript.record_failure(RECORD_TIMEOUT_S)
@@ -498,12 +498,12 @@
             run.failures = 0
         run.not_before = time.monotonic() + min(backoff_s, MAX_BACKOFF_S)
 
-    async def _record_dead(self, run, why):
-        await run.transcript.give_up(RECORD_TIMEOUT_S)
+    async def _record_abandoned(self, run, reason):
+        await run.transcript.abandon(RECORD_TIMEOUT_S)
         decision_log.log_request_event(
             "item.given_up",
             run.item.id,
             job=run.job.id,
-            outcome=why,
+            outcome=reason,
             failures=run.transcript.failures,
         )
--- a/pimentowick/gateway/upstream.py
+++ b/pimentowick/gateway/upstream.py
@@ -63,13 +63,13 @@
 
     Attributes:
         end: The `End`.
-        why: Reason code for the log.
+        reason: Reason code for the log.
         status: HTTP status of the response, or 0 without one.
         connected: Whether a connection to the target was open.
     """
 
     end: End
-    why: str
+    reason: str
     status: int = 0
     connected: bool = True
 
@@ -177,9 +177,9 @@
             The `Outcome`, and whether the connection can be reused.
         """
         http = http1connection.HTTP1Connection(self.stream, True, PARAMETERS)
-        line = httputil.RequestStartLine(request.method, request.uri, "HTTP/1.1")
+        start_line = httputil.RequestStartLine(request.method, request.uri, "HTTP/1.1")
         self.request_count += 1
-        written = http.write_headers(line, request.headers, request.body or None)
+        written = http.write_headers(start_line, request.headers, request.body or None)
         http.finish()
         reader = _Reader(request.request_id, sink)
         await http.read_response(reader)
@@ -268,8 +268,8 @@
             try:
                 connection = await self._open()
             except (OSError, TimeoutError, iostream.StreamClosedError) as error:
-                why = f"connect_{type(error).__name__}"
-                return Outcome(End.NOT_RUN, why, connected=False)
+                reason = f"connect_{type(error).__name__}"
+                return Outcome(End.NOT_RUN, reason, connected=False)
         reusable = False
         try:
             outcome, reusable = await connection.exchange(request, sink)
