--- a/pimentowick/cli/amend.py
+++ b/pimentowick/cli/amend.py
@@ -13,7 +13,7 @@
     """Publishes a new version of a document after showing the differences."""
 
     name = "amend"
-    description = "Change a document; the difference is shown first."
+    description = "Change a document after showing the differences."
     examples = (
         "pimentowick amend template organizador organizador.yaml",
         "pimentowick amend workspace feria-norte --parameter share=2.5 --yes",
@@ -27,7 +27,8 @@
     ]
     _command_options = (
         base.make_option(
-            "amends", "Version that the change was made from. Default: that in force."
+            "amends",
+            "Version on which the change is based. Default: the current version.",
         ),
         base.make_option(
             "parameter", "name=value of a workspace's parameter.", multiple=True
@@ -44,7 +45,7 @@
         document = await documents.fetch_document(client, kind, name)
         body = await self._build_body(client, kind, document["body"])
         if not documents.show_diff(self, document["body"], body):
-            self.show({"version": document["version"]}, "Nothing to publish.")
+            self.show({"version": document["version"]}, "No changes to publish.")
             return
         documents.confirm_publish(self, f"Publish this change of {kind} {name}?")
         base_version = self._get_base_version(document["version"])
@@ -55,17 +56,19 @@
         if text is None:
             return version
         if not text.isdigit():
-            base.raise_usage_error(f"--amends {text}: Expected a version.")
+            base.raise_usage_error(f"--amends {text}: Expected a version number.")
         return int(text)
 
     async def _build_body(self, client, kind, current):
         path = self.argument("file")
         edits = self.option("parameter") or self.option("template-version")
         if path is None and not edits:
-            base.raise_usage_error("Give a file, --parameter or --template-version.")
+            base.raise_usage_error(
+                "Expected a file, --parameter or --template-version."
+            )
         if edits and kind != "workspace":
             base.raise_usage_error(
-                "--parameter and --template-version are for workspaces."
+                "--parameter and --template-version apply only to workspaces."
             )
         body = dict(current)
         if path is not None:
@@ -87,7 +90,7 @@
             return template["version"]
         if not text.isdigit():
             base.raise_usage_error(
-                f"--template-version {text}: Expected a version or latest."
+                f"--template-version {text}: Expected a version number or latest."
             )
         return int(text)
 
--- a/pimentowick/cli/audit.py
+++ b/pimentowick/cli/audit.py
@@ -14,7 +14,7 @@
     """Lists audit records by workspace, author, kind, name and time."""
 
     name = "audit"
-    description = "Query the audit trail by workspace, person and time."
+    description = "Query the audit trail by workspace, author and time."
     examples = (
         "pimentowick audit --workspace feria-norte --since 2h",
         "pimentowick audit --by ada --kind order",
@@ -29,10 +29,12 @@
             "template, workspace, fleet, order, claim, release or cancel.",
         ),
         base.make_option("name", "Name of the document or host, or id of the job."),
-        base.make_option("since", "A time, or an age such as 30m or 2h."),
-        base.make_option("until", "A time, or an age."),
-        base.make_option("limit", "Most notes; the newest are shown."),
-        base.make_option("own", "The caller's own part of the trail.", flag=True),
+        base.make_option(
+            "since", "Start of the period: a time, or an age such as 30m or 2h."
+        ),
+        base.make_option("until", "End of the period: a time, or an age."),
+        base.make_option("limit", "Maximum number of records; the newest are shown."),
+        base.make_option("own", "Only records of the caller's workspace.", flag=True),
     )
 
     async def run_with_client(self, client):
@@ -50,7 +52,7 @@
         self.show(response, table.format_audit_records(response["audit"]))
         missing_shards = response["missing_shards"]
         if missing_shards and not self.option("json"):
-            self.line_error(f"No entry answered for the shards {missing_shards}.")
+            self.line_error(f"No response for shards {missing_shards}.")
 
 
 def parse_time(text, now):
@@ -77,5 +79,5 @@
         return float(text)
     except ValueError:
         base.raise_usage_error(
-            f"{text}: Expected a time such as 2026-12-01T08:00 or 2h."
+            f"{text}: Expected a time such as 2026-12-01T08:00 or an age such as 2h."
         )
--- a/pimentowick/cli/base.py
+++ b/pimentowick/cli/base.py
@@ -37,11 +37,11 @@
 AUTHORITY_ENV_VAR = "PIMENTOWICK_AUTHORITY"
 EXIT_CODES_HELP = """
 <b>EXIT CODES</b>
-  0  done
-  2  the command line, a file or a setting is wrong; nothing was sent
-  3  refused, or another change came first; nothing was changed
-  4  it is not known whether it took effect
-  5  no entry takes the request now; nothing was changed"""
+  0  success
+  2  the command line, a file or a setting is invalid; nothing was sent
+  3  refused, or conflicts with another change; nothing was changed
+  4  outcome unknown: the request may have taken effect
+  5  no entry is available; nothing was changed"""
 
 
 class CommandError(exception.PimentowickError):
@@ -166,13 +166,13 @@
         if self.option("yes"):
             return True
         if not self.io.is_interactive():
-            raise_usage_error("Nobody can be asked here. Give --yes to go on.")
+            raise_usage_error("Not an interactive session; use --yes to confirm.")
         return self.confirm(question, False)
 
 
-JSON_OPTION = make_option("json", "Print one JSON object.", flag=True)
-OPERATOR_OPTION = make_option("operator", "The token is an operator's.", flag=True)
-YES_OPTION = make_option("yes", "Don't ask.", flag=True)
+JSON_OPTION = make_option("json", "Print the result as one JSON object.", flag=True)
+OPERATOR_OPTION = make_option("operator", "Use the operator API.", flag=True)
+YES_OPTION = make_option("yes", "Skip the confirmation.", flag=True)
 
 
 class OfflineCommand(Command):
@@ -193,18 +193,18 @@
     _common_options = (
         make_option(
             "entry",
-            f"IP:port of an entry; may be given again. Default: ${ENTRIES_ENV_VAR},"
+            f"IP:port of an entry; may be repeated. Default: ${ENTRIES_ENV_VAR},"
             " separated by commas.",
             multiple=True,
         ),
         make_option(
             "token-file",
-            f"File that holds the token. Default: the token in ${TOKEN_ENV_VAR}.",
+            f"File that contains the token. Default: the token in ${TOKEN_ENV_VAR}.",
         ),
         make_option(
             "authority",
-            "PEM file of the authority that signs the entries' certificates. Default:"
-            f" ${AUTHORITY_ENV_VAR}; without one, plain HTTP.",
+            "PEM file of the CA that signs the entries' certificates. Default:"
+            f" ${AUTHORITY_ENV_VAR}; if unset, plain HTTP is used.",
         ),
         JSON_OPTION,
     )
@@ -239,7 +239,9 @@
         values = self.option("entry") or os.environ.get(ENTRIES_ENV_VAR, "").split(",")
         entries = [entry.strip() for entry in values if entry.strip()]
         if not entries:
-            raise_usage_error(f"Give --entry IP:port, or set ${ENTRIES_ENV_VAR}.")
+            raise_usage_error(
+                f"No entry specified; use --entry IP:port or set ${ENTRIES_ENV_VAR}."
+            )
         for entry in entries:
             _, separator, port = entry.rpartition(":")
             if not separator or not port.isdigit():
@@ -260,7 +262,9 @@
         else:
             token = _read_text(path)
         if not token.strip():
-            raise_usage_error(f"Give --token-file FILE, or set ${TOKEN_ENV_VAR}.")
+            raise_usage_error(
+                f"No token specified; use --token-file FILE or set ${TOKEN_ENV_VAR}."
+            )
         return token.strip()
 
 
--- a/pimentowick/cli/connection.py
+++ b/pimentowick/cli/connection.py
@@ -119,7 +119,8 @@
     return outcome.Failure(
         outcome.ExitCode.UNKNOWN,
         "unknown_outcome",
-        f"{error} The request may have run. Look before you send it again.",
+        f"{error} The request may have been executed;"
+        " check its effect before retrying.",
     )
 
 
@@ -130,6 +131,7 @@
         return outcome.Failure(
             outcome.ExitCode.UNKNOWN,
             "malformed_answer",
-            f"Status {response.status} without a refusal. Is that an entry?",
+            f"Unexpected response with status {response.status};"
+            " check that the address is an entry's.",
         )
     return outcome.make_refusal_failure(refusal)
--- a/pimentowick/cli/day_show.py
+++ b/pimentowick/cli/day_show.py
@@ -10,9 +10,11 @@
     """Summarises outcomes, delays and lost dependencies in decision logs."""
 
     name = "day show"
-    description = "Summarise the gateways' logs of a day."
+    description = "Summarise the decision logs of gateways."
     examples = ("pimentowick day show front-1.log front-2.log",)
-    arguments = [base.make_argument("files", "Logs of gateways.", multiple=True)]
+    arguments = [
+        base.make_argument("files", "Decision logs of gateways.", multiple=True)
+    ]
 
     def _run_command(self):
         rows = history.summarise(*trace.read_decision_logs(self.argument("files")))
--- a/pimentowick/cli/diff.py
+++ b/pimentowick/cli/diff.py
@@ -10,7 +10,7 @@
     """Shows the differences between a file and the current document."""
 
     name = "diff"
-    description = "Show how a file differs from the document in force."
+    description = "Show the differences between a file and the current document."
     examples = ("pimentowick diff template organizador organizador.yaml",)
     arguments = [
         documents.KIND_ARGUMENT,
@@ -29,5 +29,5 @@
             {"version": version, "difference": diff_lines},
             "\n".join(diff_lines)
             if diff_lines
-            else f"No difference from version {version}.",
+            else f"No differences from version {version}.",
         )
--- a/pimentowick/cli/documents.py
+++ b/pimentowick/cli/documents.py
@@ -88,7 +88,7 @@
     """Print a diff of two bodies and return whether they differ."""
     lines = change.diff_documents(old_body, new_body)
     if not command.option("json"):
-        command.show_text("\n".join(lines) if lines else "No difference.")
+        command.show_text("\n".join(lines) if lines else "No differences.")
     return bool(lines)
 
 
@@ -99,7 +99,7 @@
         CommandError: The user declines, or the session is not interactive.
     """
     if not command.confirm_change(question):
-        base.raise_usage_error("Nothing was published.")
+        base.raise_usage_error("Cancelled; nothing was published.")
 
 
 async def publish_document(command, client, kind, name, base_version, body):
@@ -137,5 +137,5 @@
     body = edit(dict(current["body"]))
     if not show_diff(command, current["body"], body):
         return
-    confirm_publish(command, "Publish this?")
+    confirm_publish(command, "Publish this change?")
     await publish_document(command, client, "workspace", name, current["version"], body)
--- a/pimentowick/cli/fleet_status.py
+++ b/pimentowick/cli/fleet_status.py
@@ -9,7 +9,7 @@
     """Shows the state of the fleet as known to one entry."""
 
     name = "fleet status"
-    description = "Show versions in force, owners of shards, and who drains or lags."
+    description = "Show versions in force, shard owners, and draining or lagging hosts."
     examples = ("pimentowick fleet status", "pimentowick fleet status --json")
 
     async def run_with_client(self, client):
--- a/pimentowick/cli/host_drain.py
+++ b/pimentowick/cli/host_drain.py
@@ -9,7 +9,7 @@
     """Drains an entry, or the agent of a target."""
 
     name = "host drain"
-    description = "Drain a host or target: finish what runs, then end its process."
+    description = "Drain a host or target: finish running work, then stop its process."
     examples = (
         "pimentowick host drain agent-asistente-lm-0",
         "pimentowick host drain asistente-lm-0 --yes    # by the target's name",
@@ -21,10 +21,12 @@
     async def run_with_client(self, client):
         """Ask for confirmation and send the drain order."""
         host = self.argument("host")
-        if not self.confirm_change(f"Drain {host} and end its process?"):
-            base.raise_usage_error("Nothing was ordered.")
+        if not self.confirm_change(f"Drain {host} and stop its process?"):
+            base.raise_usage_error("Cancelled; no drain order was sent.")
         drain_result = await client.fetch_json(
             "POST", "/v1/admin/drain", {"host": host}
         )
         response = base.unwrap(drain_result)
-        self.show(response, f"{response['host']} drains. See pimentowick fleet status.")
+        self.show(
+            response, f"{response['host']} is draining. See pimentowick fleet status."
+        )
--- a/pimentowick/cli/job_cancel.py
+++ b/pimentowick/cli/job_cancel.py
@@ -9,7 +9,7 @@
     """Cancels a job; returns once none of its items can start or complete."""
 
     name = "job cancel"
-    description = "Stop a job; results that it has stay readable."
+    description = "Cancel a job; its existing results remain available."
     examples = (
         "pimentowick job cancel batch_1f0c6a1be2d94c0712345678",
         "pimentowick job cancel batch_1f0c6a1be2d94c0712345678 --operator",
--- a/pimentowick/cli/job_fetch.py
+++ b/pimentowick/cli/job_fetch.py
@@ -14,7 +14,9 @@
     """Downloads the results available so far in JSON Lines format."""
 
     name = "job fetch"
-    description = "Fetch the results of a job as JSON lines, whole or not at all."
+    description = (
+        "Fetch the results of a job as JSON Lines; writes the file atomically."
+    )
     examples = ("pimentowick job fetch batch_1f0c6a1b --output results.jsonl",)
     arguments = [jobs.JOB_ARGUMENT]
     _command_options = (base.make_option("output", "File to write. Default: stdout."),)
--- a/pimentowick/cli/job_list.py
+++ b/pimentowick/cli/job_list.py
@@ -17,7 +17,7 @@
         "pimentowick job list --operator --limit 20",
     )
     _command_options = (
-        base.make_option("limit", "Most jobs; the newest are shown."),
+        base.make_option("limit", "Maximum number of jobs, newest first."),
         base.OPERATOR_OPTION,
     )
 
--- a/pimentowick/cli/job_submit.py
+++ b/pimentowick/cli/job_submit.py
@@ -14,22 +14,22 @@
     """Submits a job; submitting the same key and content again is idempotent."""
 
     name = "job submit"
-    description = "Submit a batch job of JSON lines, one item a line."
+    description = "Submit a batch job in JSON Lines format, one item per line."
     examples = (
         "pimentowick job submit dossiers.jsonl --key noche-2026-12-02",
         "pimentowick job submit dossiers.jsonl --key noche --deadline-in 6h",
     )
-    arguments = [base.make_argument("file", "File of JSON lines.")]
+    arguments = [base.make_argument("file", "File in JSON Lines format.")]
     _command_options = (
-        base.make_option("key", "Idempotency key: the name of this submission."),
-        base.make_option("deadline-in", "Time until the results are wanted: 6h, 30m."),
+        base.make_option("key", "Idempotency key of the submission."),
+        base.make_option("deadline-in", "Time until the deadline, such as 6h or 30m."),
     )
 
     async def run_with_client(self, client):
         """Submit the job and print its state."""
         if not self.option("key"):
             base.raise_usage_error(
-                "Give --key NAME, so that a resend is not a second job."
+                "--key NAME is required; it makes resubmission idempotent."
             )
         headers = {"Idempotency-Key": self.option("key")}
         if self.option("deadline-in"):
--- a/pimentowick/cli/jobs.py
+++ b/pimentowick/cli/jobs.py
@@ -4,7 +4,7 @@
 
 __all__ = ["JOB_ARGUMENT", "fetch_job", "format_job", "show_job"]
 
-JOB_ARGUMENT = base.make_argument("job", "Id of the job, as submit printed it.")
+JOB_ARGUMENT = base.make_argument("job", "Id of the job, as printed by job submit.")
 
 
 async def fetch_job(client, job_id):
--- a/pimentowick/cli/secret.py
+++ b/pimentowick/cli/secret.py
@@ -16,7 +16,7 @@
         CommandError: The file exists.
     """
     if os.path.exists(path):
-        base.raise_usage_error(f"{path}: Exists. Name a new file.")
+        base.raise_usage_error(f"{path}: File exists; choose another path.")
 
 
 def write_secret(path, token):
--- a/pimentowick/cli/settings_check.py
+++ b/pimentowick/cli/settings_check.py
@@ -13,7 +13,7 @@
     """Validates a settings file of an entry, an agent or a gateway."""
 
     name = "settings check"
-    description = "Check a settings file; names each fault with its line."
+    description = "Check a settings file and report each error with its line."
     examples = (
         "pimentowick settings check entry entry.yaml",
         "pimentowick settings check agent agent.yaml --json",
@@ -38,11 +38,11 @@
             tls.make_client_tls(loaded.tls)
         except exception.SettingsError as error:
             base.raise_usage_error(str(error))
-        self.show({"name": loaded.name}, f"{self.argument('file')} is fine.")
+        self.show({"name": loaded.name}, f"{self.argument('file')} is valid.")
 
     def _check_gateway(self):
         try:
             loaded = node.read_settings(self.argument("file"))
         except exception.SettingsError as error:
             base.raise_usage_error(str(error))
-        self.show({"name": loaded.name}, f"{self.argument('file')} is fine.")
+        self.show({"name": loaded.name}, f"{self.argument('file')} is valid.")
--- a/pimentowick/cli/show.py
+++ b/pimentowick/cli/show.py
@@ -12,7 +12,7 @@
     """Shows the current version of a document."""
 
     name = "show"
-    description = "Show the version of a document that is in force."
+    description = "Show the current version of a document."
     examples = (
         "pimentowick show workspace feria-norte",
         "pimentowick show template organizador --json",
--- a/pimentowick/cli/template_check.py
+++ b/pimentowick/cli/template_check.py
@@ -13,7 +13,7 @@
     """Validates a template and prints the workspace that it renders."""
 
     name = "template check"
-    description = "Check a template's file, and fill it in with parameters."
+    description = "Check a template file and render it with parameters."
     examples = (
         "pimentowick template check organizador.yaml",
         "pimentowick template check organizador.yaml --parameter share=2",
--- a/pimentowick/cli/token_make.py
+++ b/pimentowick/cli/token_make.py
@@ -12,13 +12,13 @@
     """Generates a token; settings and documents contain only its salted hash."""
 
     name = "token make"
-    description = "Make a token, and print the entry for settings or documents."
+    description = "Generate a token and print its entry for settings or documents."
     examples = (
         "pimentowick token make --name ada --output ada.token",
         "pimentowick token make --output caller.token --json",
     )
     _command_options = (
-        base.make_option("name", "Name of the operator; absent for a workspace."),
+        base.make_option("name", "Name of the operator; omit for a workspace's token."),
         base.make_option("output", "New file for the token, readable by its owner."),
     )
 
@@ -26,7 +26,7 @@
         path = self.option("output")
         if path is None:
             base.raise_usage_error(
-                "Give --output FILE; the token itself is never printed."
+                "--output FILE is required; the token itself is never printed."
             )
         token, stored_token = tokens.make_token(self.option("name") or "")
         secret.write_secret(path, token)
--- a/pimentowick/cli/token_retire.py
+++ b/pimentowick/cli/token_retire.py
@@ -9,11 +9,11 @@
     """Removes a token from a workspace."""
 
     name = "token retire"
-    description = "Take a token, named by its public id, from a workspace."
+    description = "Remove a token, given by its public id, from a workspace."
     examples = ("pimentowick token retire feria-norte 5f0c6a1be2d94c07 --yes",)
     arguments = [
         base.make_argument("workspace", "Name of the workspace."),
-        base.make_argument("id", "Id of the token: its part before the dot."),
+        base.make_argument("id", "Id of the token: the part before the dot."),
     ]
     _command_options = (base.YES_OPTION,)
 
--- a/pimentowick/cli/token_rotate.py
+++ b/pimentowick/cli/token_rotate.py
@@ -23,7 +23,7 @@
         path = self.option("output")
         if path is None:
             base.raise_usage_error(
-                "Give --output FILE; the token itself is never printed."
+                "--output FILE is required; the token itself is never printed."
             )
         secret.check_absent(path)
         token, stored_token = tokens.make_token()
--- a/pimentowick/cli/trace.py
+++ b/pimentowick/cli/trace.py
@@ -10,11 +10,11 @@
     """Prints the log lines of an id in order of time, and the cause of its outcome."""
 
     name = "trace"
-    description = "Trace a request, item or job through the gateways' logs."
+    description = "Trace a request, item or job through the decision logs of gateways."
     examples = ("pimentowick trace 51f0 front-1.log front-2.log",)
     arguments = [
         base.make_argument("id", "Id of a request, an item or a job."),
-        base.make_argument("files", "Logs of gateways.", multiple=True),
+        base.make_argument("files", "Decision logs of gateways.", multiple=True),
     ]
 
     def _run_command(self):
--- a/pimentowick/cli/workspace_resume.py
+++ b/pimentowick/cli/workspace_resume.py
@@ -9,5 +9,5 @@
     """Sets ``stopped`` of a workspace to false."""
 
     name = "workspace resume"
-    description = "Take requests of a stopped workspace again."
+    description = "Accept requests of a stopped workspace again."
     examples = ("pimentowick workspace resume feria-norte --yes",)
--- a/pimentowick/cli/workspace_stop.py
+++ b/pimentowick/cli/workspace_stop.py
@@ -9,6 +9,6 @@
     """Sets ``stopped`` of a workspace to true."""
 
     name = "workspace stop"
-    description = "Refuse all requests of a workspace from now on."
+    description = "Reject all requests of a workspace until it is resumed."
     examples = ("pimentowick workspace stop feria-norte --yes",)
     stopped = True
